--- a/packages/dispatch/src/attempt.ts
+++ b/packages/dispatch/src/attempt.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {Dispatcher} from 'undici';
-import {reset, type Connection} from './connections.js';
+import {resetConnection, type Connection} from './connections.js';
 import type {WireNames} from './wire.js';
 
 /** One request to one server. */
@@ -35,7 +35,7 @@
   | 'cancelled';
 
 /** How an attempt ended. */
-export type AttemptEnd =
+export type AttemptResult =
   | {readonly kind: 'answered'; readonly answer: Answer}
   | {
       readonly kind: 'lost';
@@ -49,9 +49,9 @@
 
 /** An attempt under way. */
 export interface Attempt {
-  readonly end: Promise<AttemptEnd>;
+  readonly result: Promise<AttemptResult>;
   /** Drops the request and its connection; the end tells `reason`. */
-  drop(reason: 'timeout' | 'cancelled'): void;
+  abort(reason: 'timeout' | 'cancelled'): void;
 }
 
 const NO_FIELDS: Answer['fields'] = new Map();
@@ -80,35 +80,35 @@
   let rawHeaders: string[] = [];
   let fields = NO_FIELDS;
   let isWritten = false;
-  let dropped: LossReason | null = null;
-  let abort: (() => void) | null = null;
-  let settle: (end: AttemptEnd) => void = () => undefined;
-  const end = new Promise<AttemptEnd>(resolve => {
+  let abortReason: LossReason | null = null;
+  let abortDispatch: (() => void) | null = null;
+  let settle: (result: AttemptResult) => void = () => undefined;
+  const end = new Promise<AttemptResult>(resolve => {
     settle = resolve;
   });
-  const lose = (reason: LossReason, detail: string): void => {
+  const settleLost = (reason: LossReason, detail: string): void => {
     cancelTimer();
     settle({kind: 'lost', reason, isWritten, detail, fields});
   };
-  const drop = (reason: LossReason): void => {
-    if (dropped !== null) return;
-    dropped = reason;
-    if (abort !== null) {
-      reset(connection);
-      return abort();
+  const abort = (reason: LossReason): void => {
+    if (abortReason !== null) return;
+    abortReason = reason;
+    if (abortDispatch !== null) {
+      resetConnection(connection);
+      return abortDispatch();
     }
     // Still connecting: `onConnect` will see that nothing must be written.
-    lose(reason, 'given up before it was written');
+    settleLost(reason, 'given up before it was written');
   };
-  const cancelTimer = clock.after(spec.withinMs, () => drop('timeout'));
+  const cancelTimer = clock.after(spec.withinMs, () => abort('timeout'));
 
   const handler: Handler = {
     onConnect(abortRequest) {
-      abort = abortRequest;
-      if (dropped !== null) return abortRequest();
+      abortDispatch = abortRequest;
+      if (abortReason !== null) return abortRequest();
       // The client writes a request again after some losses, which could run
       // it twice; the first one's outcome stays open instead.
-      if (isWritten) return drop('connection-lost');
+      if (isWritten) return abort('connection-lost');
       isWritten = true;
     },
     onHeaders(code, raw) {
@@ -121,7 +121,7 @@
       // this connection belongs to nobody known.
       if (id !== undefined && id !== spec.requestId) {
         fields = NO_FIELDS;
-        drop('mismatched');
+        abort('mismatched');
       }
       return true;
     },
@@ -131,9 +131,9 @@
       return true;
     },
     onComplete() {
-      if (dropped !== null) return lose(dropped, 'given up');
-      if (!isWhole(spec.method, status, fields, size, connection)) {
-        return lose('truncated', 'the answer was cut');
+      if (abortReason !== null) return settleLost(abortReason, 'given up');
+      if (!isComplete(spec.method, status, fields, size, connection)) {
+        return settleLost('truncated', 'the answer was cut');
       }
       cancelTimer();
       connection.lastAnswerAt = clock.now();
@@ -142,8 +142,8 @@
       settle({kind: 'answered', answer});
     },
     onError(err) {
-      const reason = dropped ?? lossOf(isWritten, status);
-      lose(reason, err.message);
+      const reason = abortReason ?? lossReason(isWritten, status);
+      settleLost(reason, err.message);
     },
   };
   connection.client.dispatch(
@@ -155,16 +155,16 @@
     },
     handler,
   );
-  return {end, drop};
+  return {result: end, abort: abort};
 }
 
 /** Whether a server's answer says where it came to its end, and did. */
-function isWhole(
+function isComplete(
   method: string,
   status: number,
   fields: ReadonlyMap<string, string>,
   size: number,
-  {socketEnd}: Connection,
+  {socketState: socketEnd}: Connection,
 ): boolean {
   if (method === 'HEAD' || status === 204 || status === 304) return true;
   const length = fields.get('content-length');
@@ -174,7 +174,7 @@
   return fields.has('transfer-encoding') && socketEnd === 'open';
 }
 
-function lossOf(isWritten: boolean, status: number): LossReason {
+function lossReason(isWritten: boolean, status: number): LossReason {
   if (!isWritten) return 'not-connected';
   return status === 0 ? 'connection-lost' : 'truncated';
 }
--- a/packages/dispatch/src/backend.ts
+++ b/packages/dispatch/src/backend.ts
@@ -26,41 +26,41 @@
   /** Requests of this router at the server. */
   inFlight: number;
   /** Requests of all routers there, as this one handed out its places. */
-  placed: number;
+  allocatedSlots: number;
   /** Whether a suspected request is among these. */
   hasTrial: boolean;
   /** Requests of other routers there, as the last answer told. */
-  others: number;
+  othersInFlight: number;
   /** Monotonic time of that answer, in ms. */
-  othersAt: number;
+  othersInFlightAt: number;
   /** Smoothed time for one request without waiting, in ms; 0 unknown. */
   serviceMs: number;
   /** Smoothed share of requests that failed, 0 to 1. */
-  failureShare: number;
-  failureAt: number;
+  failureRate: number;
+  failureRateAt: number;
   /** Monotonic time of its last answer, in ms. */
   lastAnswerAt: number;
   /** Not chosen before this monotonic time, in ms, while others are. */
-  suspectUntil: number;
-  suspectMs: number;
+  ejectedUntil: number;
+  ejectionMs: number;
   coldUntil: number;
   /** Another run of a server answers at its address. */
-  isGone: boolean;
+  isReplaced: boolean;
   /** Monotonic time since which it is known to leave, in ms; or null. */
   leavingSince: number | null;
   /** Service times measured since they were last reported. */
-  measured: {readonly count: number; readonly totalMs: number};
+  unreportedServiceTimes: {readonly count: number; readonly totalMs: number};
 }
 
 /** Weight of the newest service time in the smoothed one. */
-const SERVICE_WEIGHT = 0.15;
+const SERVICE_TIME_WEIGHT = 0.15;
 /** Weight of the newest outcome in the share of failures. */
-const FAILURE_WEIGHT = 0.12;
+const FAILURE_RATE_WEIGHT = 0.12;
 /** The share of failures halves in this time without a request, in ms. */
-const FAILURE_HALF_MS = 3_000;
+const FAILURE_RATE_HALF_LIFE_MS = 3_000;
 /** First and longest time for which a server is passed over, in ms. */
-const SUSPECT_MS = 250;
-const SUSPECT_MAX_MS = 2_000;
+const MIN_EJECTION_MS = 250;
+const MAX_EJECTION_MS = 2_000;
 
 /** Makes a backend server's state from its entry in the list. */
 export function createBackend(
@@ -75,20 +75,20 @@
       connectionLimit,
     ),
     inFlight: 0,
-    placed: 0,
+    allocatedSlots: 0,
     hasTrial: false,
-    others: 0,
-    othersAt: now,
+    othersInFlight: 0,
+    othersInFlightAt: now,
     serviceMs: 0,
-    failureShare: 0,
-    failureAt: now,
+    failureRate: 0,
+    failureRateAt: now,
     lastAnswerAt: -Infinity,
-    suspectUntil: 0,
-    suspectMs: 0,
+    ejectedUntil: 0,
+    ejectionMs: 0,
     coldUntil: now + info.coldMs,
-    isGone: false,
+    isReplaced: false,
     leavingSince: info.isLeaving ? now : null,
-    measured: {count: 0, totalMs: 0},
+    unreportedServiceTimes: {count: 0, totalMs: 0},
   };
 }
 
@@ -97,29 +97,33 @@
   backend: Backend,
   now: number,
   tookMs: number,
-  aheadAtSend: number,
+  inFlightAtSend: number,
   isFailure: boolean,
   load: ReportedLoad | null,
 ): void {
   backend.lastAnswerAt = now;
-  backend.suspectUntil = 0;
-  backend.suspectMs = 0;
+  backend.ejectedUntil = 0;
+  backend.ejectionMs = 0;
   if (load !== null) {
     const total = load.running + load.waiting;
-    backend.others = Math.max(0, total - backend.inFlight);
-    backend.othersAt = now;
+    backend.othersInFlight = Math.max(0, total - backend.inFlight);
+    backend.othersInFlightAt = now;
   }
   noteOutcome(backend, now, isFailure);
   if (isFailure) return;
   const {slots} = backend.info;
-  const rounds = 1 + Math.max(0, aheadAtSend - slots + 1) / slots;
-  const served = tookMs / rounds;
-  const {count, totalMs} = backend.measured;
-  backend.measured = {count: count + 1, totalMs: totalMs + served};
+  const rounds = 1 + Math.max(0, inFlightAtSend - slots + 1) / slots;
+  const serviceMs = tookMs / rounds;
+  const {count, totalMs} = backend.unreportedServiceTimes;
+  backend.unreportedServiceTimes = {
+    count: count + 1,
+    totalMs: totalMs + serviceMs,
+  };
   backend.serviceMs =
     backend.serviceMs === 0
-      ? served
-      : backend.serviceMs + SERVICE_WEIGHT * (served - backend.serviceMs);
+      ? serviceMs
+      : backend.serviceMs +
+        SERVICE_TIME_WEIGHT * (serviceMs - backend.serviceMs);
 }
 
 /**
@@ -130,30 +134,30 @@
 export function noteLoss(backend: Backend, now: number, tookMs: number): void {
   noteOutcome(backend, now, true);
   if (tookMs <= backend.serviceMs) return;
-  const raise = SERVICE_WEIGHT * (tookMs - backend.serviceMs);
+  const raise = SERVICE_TIME_WEIGHT * (tookMs - backend.serviceMs);
   backend.serviceMs += raise;
 }
 
 /** Passes the server over for a while, longer each time in a row. */
-export function suspect(backend: Backend, now: number): void {
-  if (backend.suspectUntil > now) return;
-  backend.suspectMs = Math.min(
-    SUSPECT_MAX_MS,
-    Math.max(SUSPECT_MS, backend.suspectMs * 2),
+export function eject(backend: Backend, now: number): void {
+  if (backend.ejectedUntil > now) return;
+  backend.ejectionMs = Math.min(
+    MAX_EJECTION_MS,
+    Math.max(MIN_EJECTION_MS, backend.ejectionMs * 2),
   );
-  backend.suspectUntil = now + backend.suspectMs;
+  backend.ejectedUntil = now + backend.ejectionMs;
 }
 
 /** The share of failures now, 0 to 1. */
-export function failureShareOf(backend: Backend, now: number): number {
-  if (backend.failureShare === 0) return 0;
-  const idle = now - backend.failureAt;
-  return backend.failureShare * 0.5 ** (idle / FAILURE_HALF_MS);
+export function currentFailureRate(backend: Backend, now: number): number {
+  if (backend.failureRate === 0) return 0;
+  const idle = now - backend.failureRateAt;
+  return backend.failureRate * 0.5 ** (idle / FAILURE_RATE_HALF_LIFE_MS);
 }
 
 function noteOutcome(backend: Backend, now: number, isFailure: boolean): void {
-  const share = failureShareOf(backend, now);
+  const share = currentFailureRate(backend, now);
   const outcome = isFailure ? 1 : 0;
-  backend.failureShare = share + FAILURE_WEIGHT * (outcome - share);
-  backend.failureAt = now;
+  backend.failureRate = share + FAILURE_RATE_WEIGHT * (outcome - share);
+  backend.failureRateAt = now;
 }
--- a/packages/dispatch/src/backends.ts
+++ b/packages/dispatch/src/backends.ts
@@ -10,9 +10,9 @@
   /** Sets how many connections this router may have to each server. */
   setConnectionLimit(limitOf: (service: string) => number): void;
   /** Resolves when a request of the service ended, or after `ms`. */
-  waitForRoom(service: string, ms: number): Promise<void>;
+  waitForCapacity(service: string, ms: number): Promise<void>;
   /** Wakes the first that waits for room at the service. */
-  notifyRoom(service: string): void;
+  notifyCapacity(service: string): void;
 }
 
 /**
@@ -82,7 +82,7 @@
         connections.setLimit(limitOf(info.service));
       }
     },
-    waitForRoom(service, ms) {
+    waitForCapacity(service, ms) {
       return new Promise(resolve => {
         const group = waiting.get(service) ?? new Set();
         waiting.set(service, group);
@@ -95,7 +95,7 @@
         group.add(finish);
       });
     },
-    notifyRoom(service) {
+    notifyCapacity(service) {
       const [first] = waiting.get(service) ?? [];
       first?.();
     },
--- a/packages/dispatch/src/capacities.ts
+++ b/packages/dispatch/src/capacity-cache.ts
@@ -15,14 +15,14 @@
 }
 
 /** What all servers of each service do together. */
-export interface Capacities {
+export interface CapacityCache {
   of(service: string): Capacity;
   /** The servers changed. */
-  forget(): void;
+  invalidate(): void;
 }
 
 /** Dependencies of `createCapacities`. */
-export interface CapacitiesConfig {
+export interface CapacityCacheConfig {
   readonly backends: Backends;
   readonly clock: Clock;
   readonly limits: Pick<ServerLimits, 'limitOf'>;
@@ -32,7 +32,7 @@
  * Sums over all servers are made anew after this time, in ms: made for each
  * request they cost the router that hands out places more than the rest of it.
  */
-const FRESH_MS = 20;
+const CACHE_TTL_MS = 20;
 
 /**
  * Keeps the sums.
@@ -43,11 +43,11 @@
  * const {serviceMs} = capacities.of('holds');
  * ```
  */
-export function createCapacities(cfg: CapacitiesConfig): Capacities {
+export function createCapacityCache(cfg: CapacityCacheConfig): CapacityCache {
   const {backends, clock} = cfg;
-  const known = new Map<string, Capacity & {readonly at: number}>();
+  const cached = new Map<string, Capacity & {readonly at: number}>();
 
-  const sumUp = (service: string): Capacity => {
+  const computeCapacity = (service: string): Capacity => {
     const group = backends.ofService(service);
     const serviceMs = typicalServiceMs(group);
     let slots = 0;
@@ -64,13 +64,13 @@
   return {
     of(service) {
       const now = clock.now();
-      const last = known.get(service);
-      if (last !== undefined && now - last.at < FRESH_MS) return last;
-      const next = {...sumUp(service), at: now};
-      known.set(service, next);
+      const last = cached.get(service);
+      if (last !== undefined && now - last.at < CACHE_TTL_MS) return last;
+      const next = {...computeCapacity(service), at: now};
+      cached.set(service, next);
       return next;
     },
-    forget: () => known.clear(),
+    invalidate: () => cached.clear(),
   };
 }
 
@@ -79,7 +79,7 @@
  * time.
  */
 export function capacityOf(
-  {limits}: Pick<CapacitiesConfig, 'limits'>,
+  {limits}: Pick<CapacityCacheConfig, 'limits'>,
   {info, serviceMs: measuredMs}: Backend,
   typicalMs: number,
 ): Capacity {
--- a/packages/dispatch/src/choose.ts
+++ b/packages/dispatch/src/choose-server.ts
@@ -1,10 +1,10 @@
 import type {Backend} from './backend.js';
-import {costOf, preferSound, typicalServiceMs} from './server-cost.js';
+import {costOf, preferHealthy, typicalServiceMs} from './server-cost.js';
 
 /** A server takes this many times its slots, running and waiting. */
 const MAX_LOAD_PER_SLOT = 3;
 /** Other routers' requests are forgotten in about this time, in ms. */
-const OTHERS_FADE_MS = 400;
+const OTHERS_LOAD_DECAY_MS = 400;
 /** Measures of servers differ at random by this share: routers with the same
  * picture would otherwise all go to the same server. */
 const JITTER = 0.1;
@@ -18,21 +18,21 @@
  * const backend = choose(backends.ofService('holds'), tried, 6, now);
  * ```
  */
-export function choose(
+export function chooseServer(
   backends: readonly Backend[],
   excluded: ReadonlySet<string>,
-  routers: number,
+  routerCount: number,
   now: number,
 ): Backend | null {
   const usable = backends.filter(backend => isUsable(backend, excluded));
-  const mean = meanInFlight(usable) * Math.max(0, routers - 1);
+  const expectedOthers = meanInFlight(usable) * Math.max(0, routerCount - 1);
   const typicalMs = typicalServiceMs(usable);
   let best: Backend | null = null;
   let bestMs = Infinity;
-  for (const backend of preferSound(usable, now)) {
-    const load = loadOf(backend, mean, now);
-    if (!hasRoom(backend, load)) continue;
-    const expectedMs = expect(backend, load, typicalMs, now);
+  for (const backend of preferHealthy(usable, now)) {
+    const load = estimateLoad(backend, expectedOthers, now);
+    if (!hasCapacity(backend, load)) continue;
+    const expectedMs = expectedAnswerMs(backend, load, typicalMs, now);
     if (expectedMs >= bestMs) continue;
     best = backend;
     bestMs = expectedMs;
@@ -41,25 +41,33 @@
 }
 
 /** Requests at the server now, of all routers, as far as is known. */
-export function loadOf(backend: Backend, mean: number, now: number): number {
-  const age = now - backend.othersAt;
-  const weight = Math.exp(-age / OTHERS_FADE_MS);
-  return backend.inFlight + backend.others * weight + mean * (1 - weight);
+export function estimateLoad(
+  backend: Backend,
+  expectedOthers: number,
+  now: number,
+): number {
+  const age = now - backend.othersInFlightAt;
+  const weight = Math.exp(-age / OTHERS_LOAD_DECAY_MS);
+  return (
+    backend.inFlight +
+    backend.othersInFlight * weight +
+    expectedOthers * (1 - weight)
+  );
 }
 
 /** Whether one more request finds a slot or a place to wait. */
-export function hasRoom(backend: Backend, load: number): boolean {
+export function hasCapacity(backend: Backend, load: number): boolean {
   const {slots} = backend.info;
   if (backend.inFlight >= slots * MAX_LOAD_PER_SLOT) return false;
   return load < slots * MAX_LOAD_PER_SLOT;
 }
 
 function isUsable(backend: Backend, excluded: ReadonlySet<string>): boolean {
-  const {info, isGone} = backend;
+  const {info, isReplaced: isGone} = backend;
   return !info.isLeaving && !isGone && !excluded.has(info.id);
 }
 
-function expect(
+function expectedAnswerMs(
   backend: Backend,
   load: number,
   typicalMs: number,
--- a/packages/dispatch/src/attempt-outcome.ts
+++ b/packages/dispatch/src/completed-attempt.ts
@@ -1,14 +1,14 @@
-import type {Answer, AttemptEnd} from './attempt.js';
-import {isOtherServer} from './server-run.js';
+import type {Answer, AttemptResult} from './attempt.js';
+import {isOtherServer} from './server-instance.js';
 import type {WireNames} from './wire.js';
 
 /** Outcome of a request or an order that was sent to a server. */
-export interface AttemptOutcome {
+export interface CompletedAttempt {
   /** Id of the run that it was sent to. */
   readonly server: string;
   /** Monotonic time at which it was sent, in ms. */
   readonly sentAt: number;
-  readonly end: AttemptEnd;
+  readonly result: AttemptResult;
 }
 
 /**
@@ -17,7 +17,7 @@
  */
 export function answerFields(
   names: WireNames,
-  {server, end}: AttemptOutcome,
+  {server, result: end}: CompletedAttempt,
 ): Answer['fields'] | null {
   const fields = end.kind === 'answered' ? end.answer.fields : end.fields;
   return isOtherServer(server, fields.get(names.serverId)) ? null : fields;
@@ -26,7 +26,7 @@
 /** Whether the answer's headers report that its server is shutting down. */
 export function reportsLeaving(
   names: WireNames,
-  outcome: AttemptOutcome,
+  outcome: CompletedAttempt,
 ): boolean {
   return answerFields(names, outcome)?.get(names.leaving)?.trim() === '1';
 }
--- a/packages/dispatch/src/connections.ts
+++ b/packages/dispatch/src/connections.ts
@@ -2,7 +2,7 @@
 import {buildConnector, Client} from 'undici';
 
 /** How the far end left a connection, as far as its socket shows. */
-export type SocketEnd = 'open' | 'ended' | 'broken';
+export type SocketState = 'open' | 'ended' | 'broken';
 
 /** A connection that serves one request at a time. */
 export interface Connection {
@@ -10,7 +10,7 @@
   /** Null until it stands. */
   socket: Socket | null;
   /** Set before the HTTP client sees the end itself. */
-  socketEnd: SocketEnd;
+  socketState: SocketState;
   /** Monotonic time of the last whole answer, in ms. */
   lastAnswerAt: number;
 }
@@ -24,7 +24,7 @@
   /** Gives a connection back; `isSound` lets it serve again. */
   release(connection: Connection, isSound: boolean): void;
   /** Closes unused connections without an answer since `since`. */
-  dropUnproved(since: number): void;
+  closeIdleUnusedSince(since: number): void;
   setLimit(limit: number): void;
   inUse(): number;
   /** Closes unused connections now and the others after use. */
@@ -35,12 +35,12 @@
  * A connection that isn't open by then counts as refused, in ms. Hosts of one
  * region answer within some ms; a host without power never does.
  */
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 /** Kept connections close this long before the server would, in ms. */
-const IDLE_MARGIN_MS = 1_500;
+const KEEP_ALIVE_MARGIN_MS = 1_500;
 /** Servers that name no idle time keep a connection this long at least, ms. */
-const IDLE_MS = 4_000;
-const IDLE_MAX_MS = 60_000;
+const KEEP_ALIVE_MS = 4_000;
+const MAX_KEEP_ALIVE_MS = 60_000;
 
 /**
  * Makes the connections to the server at `origin`.
@@ -62,21 +62,21 @@
 
   return {
     acquire() {
-      const kept = idle.pop();
-      if (kept === undefined && busy.size >= maxOpen) return null;
-      const connection = kept ?? open(origin);
+      const idleConnection = idle.pop();
+      if (idleConnection === undefined && busy.size >= maxOpen) return null;
+      const connection = idleConnection ?? openConnection(origin);
       busy.add(connection);
       return connection;
     },
     release(connection, isSound) {
       busy.delete(connection);
       if (isSound && !isRetired) idle.push(connection);
-      else close(connection);
+      else closeConnection(connection);
     },
-    dropUnproved(since) {
-      const proved = idle.filter(({lastAnswerAt}) => lastAnswerAt >= since);
-      idle.filter(each => !proved.includes(each)).forEach(close);
-      idle = proved;
+    closeIdleUnusedSince(since) {
+      const kept = idle.filter(({lastAnswerAt}) => lastAnswerAt >= since);
+      idle.filter(each => !kept.includes(each)).forEach(closeConnection);
+      idle = kept;
     },
     setLimit(next) {
       maxOpen = next;
@@ -85,7 +85,7 @@
     inUse: () => busy.size,
     retire() {
       isRetired = true;
-      idle.forEach(close);
+      idle.forEach(closeConnection);
       idle = [];
     },
   };
@@ -96,17 +96,17 @@
  * arrive once it heals, after a plain close too: an order of long ago would be
  * obeyed, and two servers hold a key. After a reset they are lost.
  */
-export function reset({socket}: Connection): void {
+export function resetConnection({socket}: Connection): void {
   socket?.resetAndDestroy();
 }
 
-function open(origin: string): Connection {
-  const connect = buildConnector({timeout: CONNECT_MS, noDelay: true});
+function openConnection(origin: string): Connection {
+  const connect = buildConnector({timeout: CONNECT_TIMEOUT_MS, noDelay: true});
   const client = new Client(origin, {
     pipelining: 1,
-    keepAliveTimeout: IDLE_MS,
-    keepAliveMaxTimeout: IDLE_MAX_MS,
-    keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+    keepAliveTimeout: KEEP_ALIVE_MS,
+    keepAliveMaxTimeout: MAX_KEEP_ALIVE_MS,
+    keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
     // The request's own deadline ends an exchange.
     headersTimeout: 0,
     bodyTimeout: 0,
@@ -114,13 +114,13 @@
       connect(opts, (err, socket) => {
         if (err !== null) return callback(err, null);
         connection.socket = socket;
-        connection.socketEnd = 'open';
+        connection.socketState = 'open';
         // The HTTP client takes a body without a length as whole at any end
         // of its connection, a reset included, and a chunked one of a closing
         // connection too: callers would get cut answers as whole ones. These
         // listeners come first and keep what really happened.
-        socket.once('end', () => (connection.socketEnd = 'ended'));
-        socket.once('error', () => (connection.socketEnd = 'broken'));
+        socket.once('end', () => (connection.socketState = 'ended'));
+        socket.once('error', () => (connection.socketState = 'broken'));
         callback(null, socket);
       });
     },
@@ -128,12 +128,12 @@
   const connection: Connection = {
     client,
     socket: null,
-    socketEnd: 'open',
+    socketState: 'open',
     lastAnswerAt: -Infinity,
   };
   return connection;
 }
 
-function close({client}: Connection): void {
+function closeConnection({client}: Connection): void {
   client.destroy().catch(() => undefined);
 }
--- a/packages/dispatch/src/content.ts
+++ b/packages/dispatch/src/content-digests.ts
@@ -2,7 +2,7 @@
 import {toHostName, toPath} from '@banyandrum/routing/match-route.js';
 
 /** What a request asks, and who asks it. */
-export interface Asked {
+export interface DigestInput {
   /** By IP number. */
   readonly caller: string;
   readonly method: string;
@@ -18,7 +18,7 @@
  * Digests of what a request asks, alike at all routers: what has one of them in
  * common may be the same request come again. They tell nothing of the body.
  */
-export interface Contents {
+export interface ContentDigests {
   /** Of the caller, the key, the whole path and the body. */
   readonly exact: string;
   /** The same from any caller: one that sits behind several addresses. */
@@ -28,10 +28,14 @@
 }
 
 /** What a digest is of. */
-export type Scope = keyof Contents;
+export type DigestScope = keyof ContentDigests;
 
 /** From the narrowest to the widest. */
-export const SCOPES: readonly Scope[] = ['exact', 'anyCaller', 'anyQuery'];
+export const DIGEST_SCOPES: readonly DigestScope[] = [
+  'exact',
+  'anyCaller',
+  'anyQuery',
+];
 
 /** Bytes of a digest: two requests with the same one are not expected. */
 const DIGEST_BYTES = 15;
@@ -44,7 +48,7 @@
  * contentsOf({caller: '10.0.0.9', method: 'GET', host, path, key: 7, body});
  * ```
  */
-export function contentsOf(asked: Asked): Contents {
+export function digestContent(asked: DigestInput): ContentDigests {
   const {caller, method, path, key, body} = asked;
   const host = toHostName(asked.host);
   const bodyDigest = body === null ? '' : digest(body);
--- a/packages/dispatch/src/journey.ts
+++ b/packages/dispatch/src/forward-state.ts
@@ -3,11 +3,11 @@
 import {failure, type Failure} from '@banyandrum/base/failure.js';
 import type {Route} from '@banyandrum/routing/config.js';
 import type {Answer} from './attempt.js';
-import type {Contents} from './content.js';
+import type {ContentDigests} from './content-digests.js';
 import type {Backends} from './backends.js';
 import type {Emit} from './events.js';
 import type {Owners} from './owners.js';
-import type {Places} from './places.js';
+import type {SlotProvider} from './slots.js';
 import type {Quarantine} from './quarantine.js';
 import type {RetryBudget} from './retry-budget.js';
 import type {ServerLimits} from './server-limits.js';
@@ -26,7 +26,7 @@
   /** Who asks, by IP number. */
   readonly caller: string;
   /** The digests of what it asks, made when they are wanted first. */
-  readonly contents: () => Contents;
+  readonly contents: () => ContentDigests;
   readonly route: Route;
   readonly service: string;
   /** Null where the service isn't divided by key. */
@@ -47,7 +47,7 @@
 export interface ForwardConfig {
   readonly backends: Backends;
   readonly owners: Owners;
-  readonly places: Places;
+  readonly slotProvider: SlotProvider;
   readonly dataCentre: string;
   readonly budget: RetryBudget;
   readonly quarantine: Quarantine;
@@ -59,25 +59,25 @@
   readonly clock: Clock;
   readonly emit: Emit;
   /** Routers that share the servers. */
-  readonly routers: () => number;
+  readonly routerCount: () => number;
 }
 
 /** A request's way through its attempts. */
-export interface Journey {
+export interface ForwardState {
   readonly cfg: ForwardConfig;
   readonly req: ForwardRequest;
   /** Servers that may have run it. */
-  runs: number;
+  possibleRuns: number;
   /** Requests written, those refused included. */
-  sent: number;
+  sentCount: number;
   /** Attempts, those that reached nobody included. */
-  tries: number;
+  attemptCount: number;
   /** Not to be chosen again. */
   readonly excluded: Set<string>;
   /** Set when it was written and nobody can tell the outcome. */
-  unproved: Failure | null;
+  unknownOutcome: Failure | null;
   /** A server's own failure, given back where nothing better comes. */
-  failed: Reply | null;
+  serverFailure: Reply | null;
   /** When the caller should come back after a refusal, in ms. */
   retryAfterMs: number;
   /** Why it was not run, where that is what becomes of it. */
@@ -87,7 +87,7 @@
 /** Less time than this is not worth sending a request for, in ms. */
 export const MIN_SEND_MS = 20;
 
-const CAUSES: Readonly<Record<Journey['cause'], string>> = {
+const CAUSE_DETAILS: Readonly<Record<ForwardState['cause'], string>> = {
   overloaded: 'no server has room in time',
   'no-owner': 'no server holds the key now',
   refused: 'the server turned it away',
@@ -103,25 +103,31 @@
 const SUSPECTED_RETRY_MS = 1_000;
 
 /** Ends the journey of a request under which servers ended. */
-export function turnAway(journey: Journey, standing: Standing): void {
+export function refuseAsQuarantined(
+  journey: ForwardState,
+  standing: Standing,
+): void {
   journey.cause = 'quarantined';
   journey.retryAfterMs =
     standing === 'quarantined' ? QUARANTINED_RETRY_MS : SUSPECTED_RETRY_MS;
 }
 
 /** What the caller gets where no further attempt will be made. */
-export function giveUp(journey: Journey): Reply {
+export function finalReply(journey: ForwardState): Reply {
   const {req} = journey;
-  if (journey.failed !== null) return journey.failed;
-  if (journey.unproved !== null) return fail(journey.unproved);
+  if (journey.serverFailure !== null) return journey.serverFailure;
+  if (journey.unknownOutcome !== null)
+    return failureReply(journey.unknownOutcome);
   if (req.signal.aborted) {
-    return fail(failure('not-run', 'cancelled', 'the caller gave up'));
+    return failureReply(failure('not-run', 'cancelled', 'the caller gave up'));
   }
   const {cause, retryAfterMs} = journey;
-  return fail(failure('not-run', cause, CAUSES[cause], retryAfterMs));
+  return failureReply(
+    failure('not-run', cause, CAUSE_DETAILS[cause], retryAfterMs),
+  );
 }
 
 /** The reply that tells a failure. */
-export function fail(reason: Failure): Reply {
+export function failureReply(reason: Failure): Reply {
   return {kind: 'failure', failure: reason};
 }
--- a/packages/dispatch/src/forward.ts
+++ b/packages/dispatch/src/forward.ts
@@ -1,26 +1,26 @@
-import {reportsLeaving} from './attempt-outcome.js';
+import {reportsLeaving} from './completed-attempt.js';
 import {startAttempt} from './attempt.js';
 import type {Backend} from './backend.js';
 import {findTarget, type Target} from './find-target.js';
 import {
-  giveUp,
+  finalReply,
   MIN_SEND_MS,
-  turnAway,
+  refuseAsQuarantined,
   type ForwardConfig,
   type ForwardRequest,
-  type Journey,
+  type ForwardState,
   type Reply,
-} from './journey.js';
+} from './forward-state.js';
 import {noteLimit} from './server-limits.js';
 import {noteRetryAfter} from './server-rests.js';
-import {nameOfRun} from './server-run.js';
-import {placeEndOf, takeEnd} from './take-end.js';
+import {serverName} from './server-instance.js';
+import {slotOutcomeOf, handleResult} from './handle-result.js';
 import type {WireNames} from './wire.js';
 
 /** Attempts that a request may take, those that reached nobody included. */
-const MAX_TRIES = 6;
+const MAX_ATTEMPTS = 6;
 /** When a caller should come back after a refusal, in ms. */
-const RETRY_AFTER_MS = 150;
+const DEFAULT_RETRY_AFTER_MS = 150;
 
 /**
  * Sends a request to a backend server, and to another where that is safe and
@@ -36,47 +36,47 @@
   cfg: ForwardConfig,
   req: ForwardRequest,
 ): Promise<Reply> {
-  const journey: Journey = {
+  const journey: ForwardState = {
     cfg,
     req,
-    runs: 0,
-    sent: 0,
-    tries: 0,
+    possibleRuns: 0,
+    sentCount: 0,
+    attemptCount: 0,
     excluded: new Set(),
-    unproved: null,
-    failed: null,
-    retryAfterMs: RETRY_AFTER_MS,
+    unknownOutcome: null,
+    serverFailure: null,
+    retryAfterMs: DEFAULT_RETRY_AFTER_MS,
     cause: req.key === null ? 'overloaded' : 'no-owner',
   };
   const standing = cfg.quarantine.standingOf(req);
   if (standing === 'quarantined') {
-    turnAway(journey, standing);
-    return giveUp(journey);
+    refuseAsQuarantined(journey, standing);
+    return finalReply(journey);
   }
-  cfg.budget.earn(req.service);
+  cfg.budget.deposit(req.service);
   for (;;) {
     const target = await findTarget(journey);
-    if (target === null) return giveUp(journey);
+    if (target === null) return finalReply(journey);
     const reply = await tryTarget(journey, target);
     if (reply !== null) return reply;
-    if (!mayTryAgain(journey)) return giveUp(journey);
+    if (!mayRetry(journey)) return finalReply(journey);
   }
 }
 
 async function tryTarget(
-  journey: Journey,
+  journey: ForwardState,
   target: Target,
 ): Promise<Reply | null> {
   const {cfg, req} = journey;
-  const {backend, connection, ahead} = target;
+  const {backend, connection, inFlightAtSend: ahead} = target;
   const sentAt = cfg.clock.now();
   const withinMs = req.deadline - sentAt;
   if (withinMs < MIN_SEND_MS) {
     backend.connections.release(connection, true);
-    target.end('cancelled', 0);
-    return giveUp(journey);
+    target.releaseSlot('cancelled', 0);
+    return finalReply(journey);
   }
-  journey.tries++;
+  journey.attemptCount++;
   backend.inFlight++;
   const attempt = startAttempt(connection, cfg.names, cfg.clock, {
     method: req.method,
@@ -86,24 +86,31 @@
     requestId: req.id,
     withinMs,
   });
-  const cancel = (): void => attempt.drop('cancelled');
+  const cancel = (): void => attempt.abort('cancelled');
   req.signal.addEventListener('abort', cancel);
-  const end = await attempt.end;
+  const result = await attempt.result;
   req.signal.removeEventListener('abort', cancel);
   backend.inFlight--;
-  backend.connections.release(connection, end.kind === 'answered');
-  const how = placeEndOf(cfg.names, end);
+  backend.connections.release(connection, result.kind === 'answered');
+  const slotOutcome = slotOutcomeOf(cfg.names, result);
   const {isTrial} = target;
-  const outcome = {server: backend.info.id, sentAt, end};
-  noteLimit(cfg.limits, cfg.names, outcome);
-  noteRetryAfter(cfg.rests, cfg.names, outcome);
-  if (reportsLeaving(cfg.names, outcome)) cfg.noteLeaving(outcome.server);
+  const completed = {server: backend.info.id, sentAt, result: result};
+  noteLimit(cfg.limits, cfg.names, completed);
+  noteRetryAfter(cfg.rests, cfg.names, completed);
+  if (reportsLeaving(cfg.names, completed)) cfg.noteLeaving(completed.server);
   // Before its place is free again: whoever hands out places must know what
   // this one did to the server before the same request is sent to the next.
-  await cfg.quarantine.note({req, backend, end, isTrial, how, sentAt});
-  target.end(how, cfg.clock.now() - sentAt);
-  const reply = takeEnd(journey, backend, end, sentAt, ahead);
-  cfg.backends.notifyRoom(req.service);
+  await cfg.quarantine.noteAttempt({
+    req,
+    backend,
+    result: result,
+    isTrial,
+    slotOutcome: slotOutcome,
+    sentAt,
+  });
+  target.releaseSlot(slotOutcome, cfg.clock.now() - sentAt);
+  const reply = handleResult(journey, backend, result, sentAt, ahead);
+  cfg.backends.notifyCapacity(req.service);
   return reply;
 }
 
@@ -118,16 +125,22 @@
     names.deadlineMs,
     String(Math.floor(withinMs)),
     names.expectedServer,
-    nameOfRun(backend.info.id),
+    serverName(backend.info.id),
   ];
 }
 
 /** Whether the request may go to a server once more. */
-function mayTryAgain(journey: Journey): boolean {
-  const {cfg, req, runs, tries, sent} = journey;
+function mayRetry(journey: ForwardState): boolean {
+  const {
+    cfg,
+    req,
+    possibleRuns: runs,
+    attemptCount: tries,
+    sentCount: sent,
+  } = journey;
   if (req.signal.aborted) return false;
-  if (tries >= MAX_TRIES || runs >= req.route.maxAttempts) return false;
+  if (tries >= MAX_ATTEMPTS || runs >= req.route.maxAttempts) return false;
   if (cfg.clock.now() > req.deadline - MIN_SEND_MS) return false;
   if (sent === 0) return true;
-  return cfg.budget.spend(req.service);
+  return cfg.budget.tryWithdraw(req.service);
 }
--- a/packages/dispatch/src/take-end.ts
+++ b/packages/dispatch/src/handle-result.ts
@@ -1,9 +1,14 @@
 import {failure} from '@banyandrum/base/failure.js';
-import type {Answer, AttemptEnd} from './attempt.js';
-import {noteAnswer, noteLoss, suspect, type Backend} from './backend.js';
-import {fail, giveUp, type Journey, type Reply} from './journey.js';
-import type {PlaceEnd} from './places.js';
-import {isOtherServer} from './server-run.js';
+import type {Answer, AttemptResult} from './attempt.js';
+import {noteAnswer, noteLoss, eject, type Backend} from './backend.js';
+import {
+  failureReply,
+  finalReply,
+  type ForwardState,
+  type Reply,
+} from './forward-state.js';
+import type {SlotOutcome} from './slots.js';
+import {isOtherServer} from './server-instance.js';
 import {readLoad, type WireNames} from './wire.js';
 
 /**
@@ -11,15 +16,18 @@
  * free slot by the leader's count: it is no queue that the caller must wait
  * out. It comes back at once, in ms, while its answer can still be in time.
  */
-const TURNED_AWAY_MS = 30;
+const OWNER_REFUSED_RETRY_MS = 30;
 
 /** Whether the server answered that it did not run the request. */
-function isRefusal(names: WireNames, end: AttemptEnd): boolean {
+function isRefusal(names: WireNames, end: AttemptResult): boolean {
   return end.kind === 'answered' && end.answer.fields.has(names.notRun);
 }
 
 /** How an attempt ended, for whoever handed out its place. */
-export function placeEndOf(names: WireNames, end: AttemptEnd): PlaceEnd {
+export function slotOutcomeOf(
+  names: WireNames,
+  end: AttemptResult,
+): SlotOutcome {
   if (end.kind === 'lost') {
     if (end.reason === 'cancelled') return 'cancelled';
     return end.isWritten ? 'lost' : 'unreached';
@@ -33,42 +41,46 @@
  * Takes the end of an attempt into account. Yields what the caller gets; null
  * where another attempt may do better.
  */
-export function takeEnd(
-  journey: Journey,
+export function handleResult(
+  journey: ForwardState,
   backend: Backend,
-  end: AttemptEnd,
+  end: AttemptResult,
   sentAt: number,
   ahead: number,
 ): Reply | null {
   const {cfg, req} = journey;
   const now = cfg.clock.now();
   const tookMs = now - sentAt;
-  const common = {id: req.id, server: backend.info.id, tookMs: round(tookMs)};
+  const common = {
+    id: req.id,
+    server: backend.info.id,
+    tookMs: roundToTenth(tookMs),
+  };
   if (end.kind === 'lost') {
     const {reason, isWritten, detail} = end;
     cfg.emit('attempt-lost', {
       ...{...common, reason, isWritten, detail},
       ...(isWritten && {caller: req.caller, ...req.contents()}),
     });
-    return takeLoss(journey, backend, end, sentAt);
+    return handleLoss(journey, backend, end, sentAt);
   }
   const {answer} = end;
   const {fields, status} = answer;
   const load = readLoad(fields.get(cfg.names.load));
-  journey.sent++;
+  journey.sentCount++;
   if (isRefusal(cfg.names, end)) {
     cfg.emit('attempt-refused', {...common, status});
     noteAnswer(backend, now, tookMs, ahead, status === 421, load);
-    return takeRefusal(journey, backend, answer);
+    return handleRefusal(journey, backend, answer);
   }
-  journey.runs++;
+  journey.possibleRuns++;
   const hasFailed = isFailure(cfg.names, answer);
   noteAnswer(backend, now, tookMs, ahead, hasFailed, load);
   if (!hasFailed) {
     return {kind: 'answer', answer, server: backend.info.id};
   }
   cfg.emit('attempt-failed', {...common, status});
-  return takeFailure(journey, backend, answer);
+  return handleFailure(journey, backend, answer);
 }
 
 /** Whether the server failed the request, or its answer can't be trusted. */
@@ -80,34 +92,35 @@
   return status < 300 && !fields.has(names.signature);
 }
 
-function takeLoss(
-  journey: Journey,
+function handleLoss(
+  journey: ForwardState,
   backend: Backend,
-  end: AttemptEnd & {kind: 'lost'},
+  end: AttemptResult & {kind: 'lost'},
   sentAt: number,
 ): Reply | null {
   const {cfg, req} = journey;
   const now = cfg.clock.now();
-  if (end.reason === 'cancelled') return giveUp(journey);
+  if (end.reason === 'cancelled') return finalReply(journey);
   noteLoss(backend, now, now - sentAt);
   if (!end.isWritten) {
-    suspect(backend, now);
+    eject(backend, now);
     journey.excluded.add(backend.info.id);
     return null;
   }
-  journey.sent++;
-  journey.runs++;
-  if (end.reason === 'timeout') backend.connections.dropUnproved(sentAt);
-  else if (end.reason === 'connection-lost') suspect(backend, now);
+  journey.sentCount++;
+  journey.possibleRuns++;
+  if (end.reason === 'timeout')
+    backend.connections.closeIdleUnusedSince(sentAt);
+  else if (end.reason === 'connection-lost') eject(backend, now);
   const code = end.reason === 'timeout' ? 'deadline' : 'connection-lost';
-  journey.unproved = failure('may-have-run', code, end.detail);
-  if (req.route.kind === 'once') return fail(journey.unproved);
+  journey.unknownOutcome = failure('may-have-run', code, end.detail);
+  if (req.route.kind === 'once') return failureReply(journey.unknownOutcome);
   journey.excluded.add(backend.info.id);
   return null;
 }
 
-function takeRefusal(
-  journey: Journey,
+function handleRefusal(
+  journey: ForwardState,
   backend: Backend,
   answer: Answer,
 ): Reply | null {
@@ -115,7 +128,7 @@
   const {id} = backend.info;
   const other = answer.fields.get(cfg.names.serverId);
   if (answer.status === 421 && isOtherServer(id, other)) {
-    backend.isGone = true;
+    backend.isReplaced = true;
     cfg.owners.noteReplaced(id);
   } else if (answer.status === 421 && req.key !== null) {
     cfg.owners.noteNotHeld(req.service, req.key, id);
@@ -123,28 +136,32 @@
   if (req.key === null) excluded.add(id);
   if (answer.status !== 421) {
     journey.cause = 'refused';
-    if (req.key !== null) journey.retryAfterMs = TURNED_AWAY_MS;
+    if (req.key !== null) journey.retryAfterMs = OWNER_REFUSED_RETRY_MS;
   }
   return null;
 }
 
-function takeFailure(
-  journey: Journey,
+function handleFailure(
+  journey: ForwardState,
   backend: Backend,
   answer: Answer,
 ): Reply | null {
   const {cfg, req} = journey;
   if (isUnsigned(cfg.names, answer)) {
-    journey.unproved = failure('ran', 'truncated', 'the answer is not whole');
-    if (req.route.kind === 'once') return fail(journey.unproved);
+    journey.unknownOutcome = failure(
+      'ran',
+      'truncated',
+      'the answer is not whole',
+    );
+    if (req.route.kind === 'once') return failureReply(journey.unknownOutcome);
   } else {
-    journey.failed = {kind: 'answer', answer, server: backend.info.id};
-    if (req.route.kind === 'once') return journey.failed;
+    journey.serverFailure = {kind: 'answer', answer, server: backend.info.id};
+    if (req.route.kind === 'once') return journey.serverFailure;
   }
   journey.excluded.add(backend.info.id);
   return null;
 }
 
-function round(ms: number): number {
+function roundToTenth(ms: number): number {
   return Math.round(ms * 10) / 10;
 }
--- a/packages/dispatch/src/judge-suspects.ts
+++ b/packages/dispatch/src/quarantine-rules.ts
@@ -1,4 +1,4 @@
-import type {Scope} from './content.js';
+import type {DigestScope} from './content-digests.js';
 import type {Standing, Strike, Suspect} from './suspect.js';
 
 /** So many servers must have ended under a request, one in a trial at least. */
@@ -7,21 +7,21 @@
  * A wider digest stands for several requests: where all ends are one narrower
  * one's, that alone is refused, and what others ask goes on.
  */
-const MIN_NARROWER = 2;
+const MIN_NARROWER_DIGESTS = 2;
 
 /** Servers that ended under quarantined requests, and the families of these. */
-type Explained = Map<string, Set<string>>;
+type AttributedCrashes = Map<string, Set<string>>;
 
 /** How each content stands; those that are unknown are left out. */
 export function standingsOf(
   rows: readonly Suspect[],
   alive: ReadonlySet<string>,
 ): ReadonlyMap<string, Standing> {
-  const explained = explainedBy(rows);
+  const explained = attributeQuarantined(rows);
   const standings = new Map<string, Standing>();
   for (const row of rows) {
     if (row.isQuarantined) standings.set(row.content, 'quarantined');
-    else if (openStrikes(row, explained, alive).length > 0) {
+    else if (unattributedStrikes(row, explained, alive).length > 0) {
       standings.set(row.content, 'suspected');
     }
   }
@@ -29,26 +29,26 @@
 }
 
 /** Those to be quarantined now, the one with the most strikes first. */
-export function findGuilty(
+export function findToQuarantine(
   rows: readonly Suspect[],
   alive: ReadonlySet<string>,
 ): readonly Suspect[] {
-  const explained = explainedBy(rows);
+  const explained = attributeQuarantined(rows);
   const guilty: Suspect[] = [];
   const open = rows.filter(({isQuarantined}) => !isQuarantined).sort(byStrikes);
   for (const row of open) {
-    const strikes = openStrikes(row, explained, alive);
-    if (!isGuilty(row.scope, strikes)) continue;
+    const strikes = unattributedStrikes(row, explained, alive);
+    if (!mustQuarantine(row.scope, strikes)) continue;
     guilty.push(row);
-    explain(explained, row);
+    attribute(explained, row);
   }
   return guilty;
 }
 
 /** Strikes that no other request explains. */
-function openStrikes(
+function unattributedStrikes(
   {strikes, family}: Suspect,
-  explained: Explained,
+  explained: AttributedCrashes,
   alive: ReadonlySet<string>,
 ): readonly Strike[] {
   return strikes.filter(({server}) => {
@@ -58,26 +58,32 @@
   });
 }
 
-function explain(explained: Explained, {family, strikes}: Suspect): void {
+function attribute(
+  explained: AttributedCrashes,
+  {family, strikes}: Suspect,
+): void {
   for (const {server} of strikes) {
     const families = explained.get(server) ?? new Set();
     explained.set(server, families.add(family));
   }
 }
 
-function explainedBy(rows: readonly Suspect[]): Explained {
-  const explained: Explained = new Map();
-  for (const row of rows) if (row.isQuarantined) explain(explained, row);
+function attributeQuarantined(rows: readonly Suspect[]): AttributedCrashes {
+  const explained: AttributedCrashes = new Map();
+  for (const row of rows) if (row.isQuarantined) attribute(explained, row);
   return explained;
 }
 
-function isGuilty(scope: Scope, strikes: readonly Strike[]): boolean {
+function mustQuarantine(
+  scope: DigestScope,
+  strikes: readonly Strike[],
+): boolean {
   // Servers that end together mark whatever they ran, a busy read many times
   // at once; only a trial shows that the next one ends as well.
   const isTried = strikes.some(({isTrial}) => isTrial);
   if (strikes.length < MIN_STRIKES || !isTried) return false;
   const narrower = new Set(strikes.map(({by}) => by));
-  return scope === 'exact' || narrower.size >= MIN_NARROWER;
+  return scope === 'exact' || narrower.size >= MIN_NARROWER_DIGESTS;
 }
 
 /** Any order will do among equals, if it is the same at every leader. */
--- a/packages/dispatch/src/quarantine.ts
+++ b/packages/dispatch/src/quarantine.ts
@@ -1,9 +1,9 @@
-import type {AttemptEnd} from './attempt.js';
+import type {AttemptResult} from './attempt.js';
 import type {Backend} from './backend.js';
-import type {ForwardRequest} from './journey.js';
-import type {PlaceEnd} from './places.js';
-import type {ServerEnds} from './server-ends.js';
-import type {Standing, Struck} from './suspect.js';
+import type {ForwardRequest} from './forward-state.js';
+import type {SlotOutcome} from './slots.js';
+import type {CrashDetector} from './crash-detector.js';
+import type {Standing, StruckRequest} from './suspect.js';
 import type {Suspects} from './suspects.js';
 
 /** What keeps a request that ends servers from more of them. */
@@ -14,17 +14,17 @@
    * once it is known whether the server's run ended under it, or after a
    * moment.
    */
-  note(attempt: SentAttempt): Promise<void>;
+  noteAttempt(attempt: QuarantineAttempt): Promise<void>;
 }
 
 /** An attempt that came to its end. */
-export interface SentAttempt {
+export interface QuarantineAttempt {
   readonly req: ForwardRequest;
   readonly backend: Backend;
-  readonly end: AttemptEnd;
+  readonly result: AttemptResult;
   readonly isTrial: boolean;
   /** How it ended for whoever handed out its place. */
-  readonly how: PlaceEnd;
+  readonly slotOutcome: SlotOutcome;
   /** Monotonic, in ms. */
   readonly sentAt: number;
 }
@@ -40,14 +40,21 @@
  */
 export function createQuarantine(
   suspects: Suspects,
-  ends: ServerEnds,
+  crashDetector: CrashDetector,
 ): Quarantine {
   return {
     standingOf(req) {
       if (suspects.isEmpty()) return 'unknown';
       return suspects.standingOf(req.contents());
     },
-    async note({req, backend, end, isTrial, how, sentAt}) {
+    async noteAttempt({
+      req,
+      backend,
+      result: end,
+      isTrial,
+      slotOutcome: how,
+      sentAt,
+    }) {
       const {id} = backend.info;
       if (end.kind === 'answered') {
         // A refusal may be another run's, at the address of the one that ended;
@@ -58,14 +65,17 @@
         return;
       }
       if (!end.isWritten) return;
-      const strike = (): void => suspects.strike(strikeOf(req), id, isTrial);
-      if (end.reason === 'cancelled') return ends.left(backend, strike);
-      if (end.reason === 'connection-lost') await ends.lost(backend, strike);
+      const strike = (): void =>
+        suspects.addStrike(toStruckRequest(req), id, isTrial);
+      if (end.reason === 'cancelled')
+        return crashDetector.requestCancelled(backend, strike);
+      if (end.reason === 'connection-lost')
+        await crashDetector.connectionLost(backend, strike);
     },
   };
 }
 
-function strikeOf(req: ForwardRequest): Struck {
+function toStruckRequest(req: ForwardRequest): StruckRequest {
   const {contents, caller, service, route} = req;
   return {contents: contents(), caller, service, route: route.name};
 }
--- a/packages/dispatch/src/place-queue.ts
+++ b/packages/dispatch/src/queue-policy.ts
@@ -1,13 +1,17 @@
 import type {Backends} from './backends.js';
-import {capacityOf, type Capacities, type Capacity} from './capacities.js';
+import {
+  capacityOf,
+  type CapacityCache,
+  type Capacity,
+} from './capacity-cache.js';
 import {
   countAhead,
-  countIn,
-  type Lane,
-  type Rank,
+  queueLength,
+  type WaitQueue,
+  type PriorityLevel,
   type Waiter,
-} from './lane.js';
-import type {Patience} from './patience.js';
+} from './wait-queue.js';
+import type {SlackTracker} from './slack-tracker.js';
 import type {ServerLimits} from './server-limits.js';
 
 /**
@@ -22,44 +26,44 @@
  * One whose aim has passed is let in only where its turn comes within this
  * share of a service time: it takes the place of one that is worth more.
  */
-const LATE_SHARE = 0.25;
+const LATE_WAIT_SHARE = 0.25;
 
 /**
  * Who goes next: the more urgent first, then those whose answers can still be
  * worth most, then the others. Among equals by their turns: only so many are
  * let in as can be answered in time. Null where all have been passed over.
  */
-export function pickNext(
-  {ranks}: Lane,
+export function nextWaiter(
+  {levels: ranks}: WaitQueue,
   passedOver: ReadonlySet<Waiter>,
   now: number,
 ): Waiter | null {
   for (const rank of ranks) {
-    const next = pickOf(rank, passedOver, now);
+    const next = nextInLevel(rank, passedOver, now);
     if (next !== null) return next;
   }
   return null;
 }
 
-function pickOf(
-  {waiters}: Rank,
+function nextInLevel(
+  {waiters}: PriorityLevel,
   passedOver: ReadonlySet<Waiter>,
   now: number,
 ): Waiter | null {
   let late: Waiter | null = null;
   for (const waiter of waiters) {
     if (passedOver.has(waiter)) continue;
-    if (waiter.aimAt >= now) return waiter;
+    if (waiter.onTimeUntil >= now) return waiter;
     late ??= waiter;
   }
   return late;
 }
 
 /** What deciding on who may wait needs. */
-export interface QueueConfig {
+export interface QueuePolicyConfig {
   readonly backends: Backends;
-  readonly capacities: Capacities;
-  readonly patience: Patience;
+  readonly capacities: CapacityCache;
+  readonly slackTracker: SlackTracker;
   readonly limits: Pick<ServerLimits, 'limitOf'>;
 }
 
@@ -68,15 +72,15 @@
  * once, its caller can come back while it still has time; those that are let in
  * are answered while that is worth most.
  */
-export function isTooMany(
-  cfg: QueueConfig,
-  lane: Lane,
+export function exceedsMaxWait(
+  cfg: QueuePolicyConfig,
+  lane: WaitQueue,
   waiter: Waiter,
 ): boolean {
-  const {askedAt, endsAt} = waiter;
+  const {requestedAt: askedAt, expiresAt: endsAt} = waiter;
   const capacity = capacityFor(cfg, lane);
-  const waitMs = waitMsOf(capacity, countAhead(lane, waiter) + 1);
-  const boundMs = boundOf(cfg, lane, waiter, capacity.serviceMs);
+  const waitMs = estimatedWaitMs(capacity, countAhead(lane, waiter) + 1);
+  const boundMs = maxWaitMsFor(cfg, lane, waiter, capacity.serviceMs);
   return waitMs > Math.min(boundMs, endsAt - askedAt);
 }
 
@@ -84,38 +88,43 @@
  * Estimated wait of a request added to the end of the lane, in ms; 0 unless a
  * limit reduces the lane's capacity.
  */
-export function limitedWaitMs(cfg: QueueConfig, lane: Lane): number {
+export function limitedWaitMs(cfg: QueuePolicyConfig, lane: WaitQueue): number {
   const capacity = capacityFor(cfg, lane);
-  return capacity.isLimited ? waitMsOf(capacity, countIn(lane) + 1) : 0;
+  return capacity.isLimited
+    ? estimatedWaitMs(capacity, queueLength(lane) + 1)
+    : 0;
 }
 
 /** Time to process `count` requests at this capacity, in ms. */
-function waitMsOf({slots, serviceMs}: Capacity, count: number): number {
+function estimatedWaitMs({slots, serviceMs}: Capacity, count: number): number {
   return (count / (slots || 1)) * serviceMs;
 }
 
 /** For how long it is let wait, in ms. */
-function boundOf(
-  {patience}: QueueConfig,
-  {service}: Lane,
-  {priority, askedAt, aimAt}: Waiter,
+function maxWaitMsFor(
+  {slackTracker: patience}: QueuePolicyConfig,
+  {service}: WaitQueue,
+  {priority, requestedAt: askedAt, onTimeUntil: aimAt}: Waiter,
   serviceMs: number,
 ): number {
   const slackMs = aimAt - askedAt;
-  if (slackMs <= 0) return serviceMs * LATE_SHARE * SLACK_SHARE;
-  return patience.boundFor(service, priority, slackMs) * SLACK_SHARE;
+  if (slackMs <= 0) return serviceMs * LATE_WAIT_SHARE * SLACK_SHARE;
+  return patience.maxWaitMs(service, priority, slackMs) * SLACK_SHARE;
 }
 
 /**
  * Those that waited in vain: their answers have lost most of their worth, and
  * others wait whose answers have not.
  */
-export function overdueIn({ranks}: Lane, now: number): readonly Waiter[] {
+export function findOverdue(
+  {levels: ranks}: WaitQueue,
+  now: number,
+): readonly Waiter[] {
   const overdue: Waiter[] = [];
   let isAnyTimely = false;
   for (const {waiters} of ranks) {
     for (const waiter of waiters) {
-      if (waiter.aimAt < now) overdue.push(waiter);
+      if (waiter.onTimeUntil < now) overdue.push(waiter);
       else isAnyTimely = true;
     }
   }
@@ -123,8 +132,8 @@
 }
 
 function capacityFor(
-  {backends, capacities, limits}: QueueConfig,
-  {service, holder}: Lane,
+  {backends, capacities, limits}: QueuePolicyConfig,
+  {service, owner: holder}: WaitQueue,
 ): Capacity {
   const all = capacities.of(service);
   if (holder === null) return all;
--- a/packages/dispatch/src/retry-budget.ts
+++ b/packages/dispatch/src/retry-budget.ts
@@ -9,17 +9,17 @@
 /** A router's own share of the allowance, by service. */
 export interface RetryBudget {
   /** A caller's request for the service came. */
-  earn(service: string): void;
+  deposit(service: string): void;
   /** Takes one repeat; false where none is left. */
-  spend(service: string): boolean;
+  tryWithdraw(service: string): boolean;
 }
 
 /**
  * Parts of the allowance that are used. Routers don't count each other's
  * repeats, and one that restarts begins with a full share again.
  */
-const RATIO_USED = 0.85;
-const SLACK_USED = 0.6;
+const RATIO_MARGIN = 0.85;
+const SLACK_MARGIN = 0.6;
 
 /**
  * A bucket for each service, filled by its requests. In any window the
@@ -34,22 +34,23 @@
  */
 export function createRetryBudget(
   allowance: RetryAllowance,
-  routers: () => number,
+  routerCount: () => number,
 ): RetryBudget {
   const tokens = new Map<string, number>();
-  const share = (): number =>
-    (allowance.slack * SLACK_USED) / Math.max(1, routers());
+  const ownSlack = (): number =>
+    (allowance.slack * SLACK_MARGIN) / Math.max(1, routerCount());
   // With many routers a share is less than one repeat: it must be saved up.
-  const capacity = (): number => Math.max(1, share());
-  const left = (service: string): number => tokens.get(service) ?? share();
+  const capacity = (): number => Math.max(1, ownSlack());
+  const balance = (service: string): number =>
+    tokens.get(service) ?? ownSlack();
   return {
-    earn(service) {
-      const earned = left(service) + allowance.ratio * RATIO_USED;
+    deposit(service) {
+      const earned = balance(service) + allowance.ratio * RATIO_MARGIN;
       tokens.set(service, Math.min(capacity(), earned));
     },
-    spend(service) {
-      if (left(service) < 1) return false;
-      tokens.set(service, left(service) - 1);
+    tryWithdraw(service) {
+      if (balance(service) < 1) return false;
+      tokens.set(service, balance(service) - 1);
       return true;
     },
   };
--- a/packages/dispatch/src/server-cost.ts
+++ b/packages/dispatch/src/server-cost.ts
@@ -1,28 +1,28 @@
-import {failureShareOf, type Backend} from './backend.js';
+import {currentFailureRate, type Backend} from './backend.js';
 
 /** A request's time at a server before anything was measured, in ms. */
 export const DEFAULT_SERVICE_MS = 200;
 
 /** A server that fails this share of its requests is a last resort. */
-const FAILING_SHARE = 0.5;
+const UNHEALTHY_FAILURE_RATE = 0.5;
 /** Servers that started lately take about so many times as long. */
-const COLD_FACTOR = 2;
+const COLD_START_FACTOR = 2;
 
 /** Those of the servers that seem sound; all of them where none does. */
-export function preferSound(
+export function preferHealthy(
   backends: readonly Backend[],
   now: number,
 ): readonly Backend[] {
-  const sound = backends.filter(backend => isSound(backend, now));
-  return sound.length > 0 ? sound : backends;
+  const healthy = backends.filter(backend => isHealthy(backend, now));
+  return healthy.length > 0 ? healthy : backends;
 }
 
 /** Whether the server is neither passed over nor a last resort. */
-export function isSound(backend: Backend, now: number): boolean {
-  if (backend.suspectUntil > now) return false;
+export function isHealthy(backend: Backend, now: number): boolean {
+  if (backend.ejectedUntil > now) return false;
   // The share only fades with time.
-  if (backend.failureShare < FAILING_SHARE) return true;
-  return failureShareOf(backend, now) < FAILING_SHARE;
+  if (backend.failureRate < UNHEALTHY_FAILURE_RATE) return true;
+  return currentFailureRate(backend, now) < UNHEALTHY_FAILURE_RATE;
 }
 
 /**
@@ -35,8 +35,8 @@
   now: number,
 ): number {
   const serviceMs = backend.serviceMs || typicalMs;
-  const cold = backend.coldUntil > now ? COLD_FACTOR : 1;
-  const failures = failureShareOf(backend, now);
+  const cold = backend.coldUntil > now ? COLD_START_FACTOR : 1;
+  const failures = currentFailureRate(backend, now);
   return (serviceMs * cold) / (1 - failures) ** 2;
 }
 
--- a/packages/dispatch/src/server-limits.ts
+++ b/packages/dispatch/src/server-limits.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import {answerFields, type AttemptOutcome} from './attempt-outcome.js';
+import {answerFields, type CompletedAttempt} from './completed-attempt.js';
 import type {Emit} from './events.js';
 import {createRateShare, type RateShare} from './rate-share.js';
 import {createTokenBucket, type TokenBucket} from './token-bucket.js';
@@ -240,9 +240,9 @@
 export function noteLimit(
   limits: Pick<ServerLimits, 'noteAnswer'>,
   names: WireNames,
-  outcome: AttemptOutcome,
+  outcome: CompletedAttempt,
 ): void {
-  const {server, sentAt, end} = outcome;
+  const {server, sentAt, result: end} = outcome;
   const fields = answerFields(names, outcome);
   if (fields === null) return;
   const isComplete = end.kind === 'answered' && fields.has(names.signature);
--- a/packages/dispatch/src/server-rests.ts
+++ b/packages/dispatch/src/server-rests.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import {answerFields, type AttemptOutcome} from './attempt-outcome.js';
+import {answerFields, type CompletedAttempt} from './completed-attempt.js';
 import type {Emit} from './events.js';
 import {readRetryAfter, type WireNames} from './wire.js';
 
@@ -26,9 +26,9 @@
 export function noteRetryAfter(
   rests: Pick<ServerRests, 'noteRefusal'>,
   names: WireNames,
-  outcome: AttemptOutcome,
+  outcome: CompletedAttempt,
 ): void {
-  const {server, end} = outcome;
+  const {server, result: end} = outcome;
   const fields = answerFields(names, outcome);
   const text = fields?.get(names.retryAfter);
   if (text === undefined || !fields!.has(names.notRun)) return;
--- a/packages/dispatch/src/patience.ts
+++ b/packages/dispatch/src/slack-tracker.ts
@@ -1,17 +1,17 @@
 /** For how long requests that compete for the same servers can wait. */
-export interface Patience {
+export interface SlackTracker {
   /** One asks that can wait so long before its answer is worth less, in ms. */
-  note(service: string, priority: number, slackMs: number): void;
+  noteSlack(service: string, priority: number, slackMs: number): void;
   /**
    * For how long one should be let wait that can wait for `slackMs`: half way,
    * as a factor, from what the least patient can bear to that.
    */
-  boundFor(service: string, priority: number, slackMs: number): number;
+  maxWaitMs(service: string, priority: number, slackMs: number): number;
 }
 
 /** Weights of a request that is less patient, or more, than the least so far. */
-const LESS_WEIGHT = 0.1;
-const MORE_WEIGHT = 0.003;
+const DECREASE_WEIGHT = 0.1;
+const INCREASE_WEIGHT = 0.003;
 
 /**
  * Keeps what the least patient requests of each service and priority can bear.
@@ -25,22 +25,22 @@
  * const waitMs = patience.boundFor('rounds', 2, 1_490);
  * ```
  */
-export function createPatience(): Patience {
+export function createSlackTracker(): SlackTracker {
   const leastMs = new Map<string, number>();
   return {
-    note(service, priority, slackMs) {
-      const name = nameOf(service, priority);
+    noteSlack(service, priority, slackMs) {
+      const name = keyOf(service, priority);
       const least = leastMs.get(name) ?? slackMs;
-      const weight = slackMs < least ? LESS_WEIGHT : MORE_WEIGHT;
+      const weight = slackMs < least ? DECREASE_WEIGHT : INCREASE_WEIGHT;
       leastMs.set(name, least + weight * (slackMs - least));
     },
-    boundFor(service, priority, slackMs) {
-      const least = leastMs.get(nameOf(service, priority)) ?? slackMs;
+    maxWaitMs(service, priority, slackMs) {
+      const least = leastMs.get(keyOf(service, priority)) ?? slackMs;
       return Math.min(slackMs, Math.sqrt(slackMs * least));
     },
   };
 }
 
-function nameOf(service: string, priority: number): string {
+function keyOf(service: string, priority: number): string {
   return `${priority} ${service}`;
 }
--- a/packages/dispatch/src/places.ts
+++ b/packages/dispatch/src/slots.ts
@@ -1,7 +1,7 @@
 import type {CancelSignal} from '@banyandrum/base/cancel.js';
 
 /** A request that looks for a place at a server. */
-export interface PlaceAsk {
+export interface SlotRequest {
   /** The request's id, for the log. */
   readonly id: string;
   readonly service: string;
@@ -27,7 +27,7 @@
 }
 
 /** How a request at a place ended. */
-export type PlaceEnd =
+export type SlotOutcome =
   | 'answered'
   /** The server failed it. */
   | 'failed'
@@ -40,7 +40,7 @@
   | 'cancelled';
 
 /** What a request gets. */
-export type PlaceReply =
+export type SlotReply =
   | {readonly kind: 'granted'; readonly server: string}
   /** It can't be answered in time. */
   | {
@@ -53,17 +53,17 @@
   | {readonly kind: 'unavailable'};
 
 /** A place at a server, or why there is none. */
-export type Place =
+export type SlotResult =
   | {
       readonly kind: 'granted';
       readonly server: string;
       /** Gives the place back; to be called once. */
-      end(how: PlaceEnd, tookMs: number): void;
+      release(how: SlotOutcome, tookMs: number): void;
     }
-  | Exclude<PlaceReply, {kind: 'granted'}>;
+  | Exclude<SlotReply, {kind: 'granted'}>;
 
 /** Hands out the servers' slots. */
-export interface Places {
+export interface SlotProvider {
   /** Waits for a place; never throws. */
-  acquire(ask: PlaceAsk, signal: CancelSignal): Promise<Place>;
+  acquire(ask: SlotRequest, signal: CancelSignal): Promise<SlotResult>;
 }
--- a/packages/dispatch/src/suspect.ts
+++ b/packages/dispatch/src/suspect.ts
@@ -1,4 +1,8 @@
-import {SCOPES, type Contents, type Scope} from './content.js';
+import {
+  DIGEST_SCOPES,
+  type ContentDigests,
+  type DigestScope,
+} from './content-digests.js';
 
 /** A server's run that ended while the request was there. */
 export interface Strike {
@@ -23,7 +27,7 @@
 export interface Suspect {
   /** One of the digests of what it asks (`content.ts`), and which. */
   readonly content: string;
-  readonly scope: Scope;
+  readonly scope: DigestScope;
   /** The same for all rows of one request: its widest digest. */
   readonly family: string;
   readonly caller: string;
@@ -41,15 +45,18 @@
 export type Standing = 'unknown' | 'suspected' | 'quarantined';
 
 /** A request at whose server's end it was there. */
-export interface Struck {
-  readonly contents: Contents;
+export interface StruckRequest {
+  readonly contents: ContentDigests;
   readonly caller: string;
   readonly service: string;
   readonly route: string;
 }
 
 /** What is the same in all rounds of a row. */
-type About = Omit<Suspect, 'round' | 'strikes' | 'isQuarantined' | 'cleared'>;
+type SuspectIdentity = Omit<
+  Suspect,
+  'round' | 'strikes' | 'isQuarantined' | 'cleared'
+>;
 
 /** Ended servers that are told of one request. */
 const MAX_STRIKES = 16;
@@ -59,28 +66,34 @@
  * answered as it is sent again: told to all routers, a fifth of 400 servers that
  * end together would fill the leader's link for seconds.
  */
-const MIN_TOLD_STRIKES = 2;
+const MIN_BROADCAST_STRIKES = 2;
 
 /** A strike as the rows of each scope have it. */
-export function rowsOf(
-  {contents, caller, service, route}: Struck,
+export function strikeRows(
+  {contents, caller, service, route}: StruckRequest,
   server: string,
   isTrial: boolean,
 ): readonly Suspect[] {
-  return SCOPES.map((scope, at) => {
-    const narrower = SCOPES[at - 1];
+  return DIGEST_SCOPES.map((scope, at) => {
+    const narrower = DIGEST_SCOPES[at - 1];
     const by = narrower === undefined ? '' : contents[narrower];
-    const about: About = {
+    const identity: SuspectIdentity = {
       ...{content: contents[scope], scope, family: contents.anyQuery},
       ...{caller, service, route},
     };
     const strikes = [{server, isTrial, by}];
-    return {...about, round: 0, strikes, isQuarantined: false, cleared: null};
+    return {
+      ...identity,
+      round: 0,
+      strikes,
+      isQuarantined: false,
+      cleared: null,
+    };
   });
 }
 
 /** What both rows say together; `known` itself where that is nothing new. */
-export function joined(known: Suspect, other: Suspect): Suspect {
+export function mergeSuspects(known: Suspect, other: Suspect): Suspect {
   if (other.round < known.round) return known;
   if (other.round > known.round) return other;
   const strikes = new Map(known.strikes.map(each => [each.server, each]));
@@ -100,8 +113,8 @@
 }
 
 /** Whether it concerns other routers than the leader. */
-export function isWorthTelling({isQuarantined, strikes}: Suspect): boolean {
-  return isQuarantined || strikes.length >= MIN_TOLD_STRIKES;
+export function shouldBroadcast({isQuarantined, strikes}: Suspect): boolean {
+  return isQuarantined || strikes.length >= MIN_BROADCAST_STRIKES;
 }
 
 /**
--- a/packages/dispatch/src/suspects.ts
+++ b/packages/dispatch/src/suspects.ts
@@ -1,13 +1,13 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import {SCOPES, type Contents} from './content.js';
+import {DIGEST_SCOPES, type ContentDigests} from './content-digests.js';
 import type {Emit} from './events.js';
-import {findGuilty, standingsOf} from './judge-suspects.js';
+import {findToQuarantine, standingsOf} from './quarantine-rules.js';
 import {
-  joined,
-  rowsOf,
+  mergeSuspects,
+  strikeRows,
   type Clearing,
   type Standing,
-  type Struck,
+  type StruckRequest,
   type Suspect,
 } from './suspect.js';
 
@@ -20,15 +20,15 @@
 /** Requests under which servers ended, as far as this router knows. */
 export interface Suspects {
   /** Of one digest, or the worst of a request's. */
-  standingOf(content: string | Contents): Standing;
+  standingOf(content: string | ContentDigests): Standing;
   /** How many contents stand so. */
   count(standing: Standing): number;
   /** Whether nothing is suspected: contents need not be looked up. */
   isEmpty(): boolean;
   /** A server's run ended under the request. */
-  strike(struck: Struck, server: string, isTrial: boolean): void;
+  addStrike(struck: StruckRequest, server: string, isTrial: boolean): void;
   /** A server answered the request whole, and lives. */
-  clearAnswered(contents: Contents): void;
+  clearAnswered(contents: ContentDigests): void;
   /**
    * An operator's word, on all rows of the request; false where it isn't
    * quarantined.
@@ -42,7 +42,7 @@
   /** Takes what another router, or the record, says. */
   merge(rows: readonly Suspect[]): void;
   /** Quarantines what has ended servers often enough: the leader's part. */
-  judge(): void;
+  applyQuarantineRules(): void;
   get(content: string): Suspect | undefined;
   /** All rows; the same array until one changes. */
   rows(): readonly Suspect[];
@@ -50,19 +50,19 @@
 }
 
 /** Rows of requests that aren't quarantined, and of those that are. */
-const MAX_OPEN = 1_000;
+const MAX_UNQUARANTINED = 1_000;
 const MAX_QUARANTINED = 300;
 /** Who clears a request that a server answered. */
-const ANSWERED = 'answered';
+const CLEARED_BY_ANSWER = 'answered';
 /** Servers that were wrongly taken for ended. */
-const MAX_ALIVE = 1_000;
+const MAX_ALIVE_SERVERS = 1_000;
 /** One that isn't quarantined is forgotten after this time, in ms. */
-const FORGET_MS = 600_000;
+const SUSPECT_TTL_MS = 600_000;
 /**
  * An operator's clearing is kept for longer, in ms: routers that were cut off
  * meanwhile still know the request as quarantined.
  */
-const KEEP_CLEARED_MS = 86_400_000;
+const CLEARED_TTL_MS = 86_400_000;
 
 /**
  * Makes the table. Rows of several routers merge in any order to the same: a
@@ -89,15 +89,15 @@
   const changedAt = new Map<string, number>();
   /** Runs that were struck, and when this router heard of it, in ms. */
   const struckAt = new Map<string, number>();
-  const alive = new Set<string>();
+  const aliveServers = new Set<string>();
   const listeners: SuspectListener[] = [];
   let rows: readonly Suspect[] = [];
   let standings: ReadonlyMap<string, Standing> = new Map();
 
-  const changed = (some: readonly Suspect[], isOwn: boolean): void => {
-    forgetOld();
+  const publish = (some: readonly Suspect[], isOwn: boolean): void => {
+    evictOld();
     rows = [...table.values()];
-    standings = standingsOf(rows, alive);
+    standings = standingsOf(rows, aliveServers);
     const struck = new Set(
       rows.flatMap(({strikes}) => strikes.map(({server}) => server)),
     );
@@ -122,22 +122,22 @@
   };
 
   /** Old rows go, and of too many those of the caller that has most. */
-  const forgetOld = (): void => {
+  const evictOld = (): void => {
     const now = clock.now();
     for (const [content, at] of changedAt) {
-      if (now - at > keepMs(table.get(content)!)) drop(content);
+      if (now - at > ttlMs(table.get(content)!)) drop(content);
     }
     for (const isQuarantined of [false, true]) {
-      const most = isQuarantined ? MAX_QUARANTINED : MAX_OPEN;
+      const most = isQuarantined ? MAX_QUARANTINED : MAX_UNQUARANTINED;
       const ofKind = (row: Suspect): boolean =>
         row.isQuarantined === isQuarantined;
       let left = [...table.values()].filter(ofKind).length;
-      for (; left > most; left--) drop(oldestOfMost(ofKind));
+      for (; left > most; left--) drop(oldestOfLargestCaller(ofKind));
     }
   };
 
   /** A caller that fills the table pushes out its own rows only. */
-  const oldestOfMost = (ofKind: (row: Suspect) => boolean): string => {
+  const oldestOfLargestCaller = (ofKind: (row: Suspect) => boolean): string => {
     const counts = new Map<string, number>();
     for (const row of table.values()) {
       if (ofKind(row))
@@ -161,14 +161,14 @@
       const {content, scope, caller, service} = row;
       emit('request-cleared', {content, scope, caller, service, by, reason});
     }
-    changed(next, true);
+    publish(next, true);
   };
 
   const known = ({content}: Suspect): Suspect => table.get(content)!;
 
   const mergeRow = (row: Suspect): boolean => {
     const last = table.get(row.content);
-    const next = last === undefined ? row : joined(last, row);
+    const next = last === undefined ? row : mergeSuspects(last, row);
     if (next === last) return false;
     put(next);
     return true;
@@ -179,15 +179,15 @@
       if (typeof content === 'string') {
         return standings.get(content) ?? 'unknown';
       }
-      const all = SCOPES.map(scope => standings.get(content[scope]));
+      const all = DIGEST_SCOPES.map(scope => standings.get(content[scope]));
       if (all.includes('quarantined')) return 'quarantined';
       return all.includes('suspected') ? 'suspected' : 'unknown';
     },
     count: standing =>
       [...standings.values()].filter(each => each === standing).length,
     isEmpty: () => standings.size === 0,
-    strike(struck, server, isTrial) {
-      const news = rowsOf(struck, server, isTrial)
+    addStrike(struck, server, isTrial) {
+      const news = strikeRows(struck, server, isTrial)
         .map(row => ({...row, round: table.get(row.content)?.round ?? 0}))
         .filter(mergeRow);
       const {contents, caller, service, route} = struck;
@@ -196,14 +196,14 @@
         ...{...contents, caller, service, route, server, isTrial},
         strikes: strikes.length,
       });
-      if (news.length > 0) changed(news.map(known), true);
+      if (news.length > 0) publish(news.map(known), true);
     },
     clearAnswered(contents) {
-      const rows = SCOPES.map(scope => table.get(contents[scope])).filter(
-        row => row !== undefined && row.strikes.length > 0,
-      );
+      const rows = DIGEST_SCOPES.map(scope =>
+        table.get(contents[scope]),
+      ).filter(row => row !== undefined && row.strikes.length > 0);
       const reason = 'a server answered it whole';
-      const cleared = {by: ANSWERED, reason, at: unixNow()};
+      const cleared = {by: CLEARED_BY_ANSWER, reason, at: unixNow()};
       startRound(rows as readonly Suspect[], cleared);
     },
     clear(content, by, reason) {
@@ -217,21 +217,21 @@
     },
     noteAlive(server, sentAt) {
       const at = struckAt.get(server);
-      if (at === undefined || sentAt <= at || alive.has(server)) return;
-      alive.add(server);
-      if (alive.size > MAX_ALIVE) {
-        const [oldest] = alive;
-        alive.delete(oldest!);
+      if (at === undefined || sentAt <= at || aliveServers.has(server)) return;
+      aliveServers.add(server);
+      if (aliveServers.size > MAX_ALIVE_SERVERS) {
+        const [oldest] = aliveServers;
+        aliveServers.delete(oldest!);
       }
       emit('server-alive', {server});
-      changed([], true);
+      publish([], true);
     },
     merge(others) {
       const news = others.filter(mergeRow).map(known);
-      if (news.length > 0) changed(news, false);
+      if (news.length > 0) publish(news, false);
     },
-    judge() {
-      const guilty = findGuilty(rows, alive);
+    applyQuarantineRules() {
+      const guilty = findToQuarantine(rows, aliveServers);
       if (guilty.length === 0) return;
       const next = guilty.map(row => ({...row, isQuarantined: true}));
       for (const row of next) {
@@ -241,7 +241,7 @@
         const about = {content, scope, caller, service, route};
         emit('request-quarantined', {...about, servers});
       }
-      changed(next, true);
+      publish(next, true);
     },
     get: content => table.get(content),
     rows: () => rows,
@@ -250,8 +250,8 @@
 }
 
 /** For how long a row is kept while nothing of it changes, in ms. */
-function keepMs({isQuarantined, cleared}: Suspect): number {
+function ttlMs({isQuarantined, cleared}: Suspect): number {
   if (isQuarantined) return Infinity;
-  const isAnswered = cleared === null || cleared.by === ANSWERED;
-  return isAnswered ? FORGET_MS : KEEP_CLEARED_MS;
+  const isAnswered = cleared === null || cleared.by === CLEARED_BY_ANSWER;
+  return isAnswered ? SUSPECT_TTL_MS : CLEARED_TTL_MS;
 }
--- a/packages/dispatch/src/place-lanes.ts
+++ b/packages/dispatch/src/wait-queues.ts
@@ -1,16 +1,16 @@
-import {holderOf, type PlaceIssuerConfig} from './free-server.js';
-import {join, NO_HOLDER, waitersIn, type Lane} from './lane.js';
-import type {PlaceAsk} from './places.js';
+import {ownerServerOf, type SlotAllocatorConfig} from './free-server.js';
+import {enqueue, NO_OWNER, waitersIn, type WaitQueue} from './wait-queue.js';
+import type {SlotRequest} from './slots.js';
 
 /** All that wait, by the servers that may serve them. */
-export interface Lanes {
+export interface WaitQueues {
   /** The lane for the ask, as keys are held now. */
-  of(ask: PlaceAsk): Lane;
+  queueFor(ask: SlotRequest): WaitQueue;
   /** Lanes that a free place at the server may serve. */
-  at(service: string, server: string): readonly Lane[];
-  all(): Iterable<Lane>;
+  queuesServedBy(service: string, server: string): readonly WaitQueue[];
+  all(): Iterable<WaitQueue>;
   /** Keys may have other holders: all wait where they belong now. */
-  sort(): void;
+  regroup(): void;
   clear(): void;
 }
 
@@ -25,42 +25,42 @@
  * join(lanes.of(ask), waiter);
  * ```
  */
-export function createLanes(cfg: PlaceIssuerConfig): Lanes {
-  const services = new Map<string, Map<string | null, Lane>>();
+export function createWaitQueues(cfg: SlotAllocatorConfig): WaitQueues {
+  const services = new Map<string, Map<string | null, WaitQueue>>();
 
-  const laneAt = (service: string, holder: string | null): Lane => {
-    const lanes = services.get(service) ?? new Map<string | null, Lane>();
+  const getOrCreate = (service: string, holder: string | null): WaitQueue => {
+    const lanes = services.get(service) ?? new Map<string | null, WaitQueue>();
     services.set(service, lanes);
-    const lane = lanes.get(holder) ?? {service, holder, ranks: []};
+    const lane = lanes.get(holder) ?? {service, owner: holder, levels: []};
     lanes.set(holder, lane);
     return lane;
   };
 
-  const laneOf = (ask: PlaceAsk): Lane =>
-    laneAt(
+  const queueFor = (ask: SlotRequest): WaitQueue =>
+    getOrCreate(
       ask.service,
-      ask.key === null ? null : (holderOf(cfg, ask) ?? NO_HOLDER),
+      ask.key === null ? null : (ownerServerOf(cfg, ask) ?? NO_OWNER),
     );
 
-  function* all(): Iterable<Lane> {
+  function* all(): Iterable<WaitQueue> {
     for (const lanes of services.values()) yield* lanes.values();
   }
 
   return {
-    of: laneOf,
-    at(service, server) {
+    queueFor: queueFor,
+    queuesServedBy(service, server) {
       const lanes = services.get(service);
       return [lanes?.get(null), lanes?.get(server)].filter(
         lane => lane !== undefined,
       );
     },
     all,
-    sort() {
+    regroup() {
       const waiting = [...all()].flatMap(waitersIn);
       // Lanes of servers that left go as well.
       services.clear();
-      waiting.sort((a, b) => a.askedAt - b.askedAt);
-      for (const waiter of waiting) join(laneOf(waiter.ask), waiter);
+      waiting.sort((a, b) => a.requestedAt - b.requestedAt);
+      for (const waiter of waiting) enqueue(queueFor(waiter.request), waiter);
     },
     clear: () => services.clear(),
   };
--- a/packages/dispatch/test/attempt.test.ts
+++ b/packages/dispatch/test/attempt.test.ts
@@ -3,7 +3,7 @@
 import {createClock} from '@banyandrum/base/clock.js';
 import {startAttempt} from '@banyandrum/dispatch/attempt.js';
 import {createServerConnections} from '@banyandrum/dispatch/connections.js';
-import {askOnce, listenRaw, NAMES, startCut} from './raw-server.js';
+import {sendOnce, listenRaw, NAMES, startCutPath} from './raw-server.js';
 
 const SIGNED = 'x-signature: s\r\n';
 
@@ -86,7 +86,10 @@
 for (const {name, answer, expected} of CASES) {
   void tap.test(name, async t => {
     const server = await listenRaw(answer);
-    const end = await askOnce(server.origin, expected === 'timeout' ? 80 : 2e3);
+    const end = await sendOnce(
+      server.origin,
+      expected === 'timeout' ? 80 : 2e3,
+    );
     t.equal(end.kind === 'answered' ? 'answered' : end.reason, expected);
     if (end.kind === 'lost') t.equal(end.isWritten, true);
     await server.close();
@@ -96,7 +99,7 @@
 void tap.test('a refused connection proves that nothing ran', async t => {
   const server = await listenRaw(() => undefined);
   await server.close();
-  const end = await askOnce(server.origin);
+  const end = await sendOnce(server.origin);
   t.match(end, {kind: 'lost', reason: 'not-connected', isWritten: false});
 });
 
@@ -121,7 +124,7 @@
       requestId: 'r',
       withinMs: 1_000,
     });
-    const end = await attempt.end;
+    const end = await attempt.result;
     connections.release(connection, end.kind === 'answered');
     return end.kind === 'answered' ? end.answer.body.toString() : end.reason;
   };
@@ -139,7 +142,7 @@
 void tap.test('what was given up never arrives after a cut', async t => {
   const heads: string[] = [];
   const server = await listenRaw((_, head) => heads.push(head));
-  const cut = await startCut(Number(new URL(server.origin).port));
+  const cut = await startCutPath(Number(new URL(server.origin).port));
   const clock = createClock();
   const connections = createServerConnections(cut.origin, 1);
   const send = (id: string): ReturnType<typeof startAttempt> =>
@@ -148,7 +151,7 @@
       ...{requestId: id, withinMs: 200},
     });
   const connection = connections.acquire()!;
-  t.match(await send('held').end, {kind: 'lost', isWritten: true});
+  t.match(await send('held').result, {kind: 'lost', isWritten: true});
   connections.release(connection, false);
   await new Promise(resolve => setTimeout(resolve, 50));
   cut.heal();
--- a/packages/dispatch/test/content.test.ts
+++ b/packages/dispatch/test/content-digests.test.ts
@@ -1,12 +1,12 @@
 import tap from 'tap';
 import {
-  contentsOf,
-  SCOPES,
-  type Asked,
-  type Scope,
-} from '@banyandrum/dispatch/content.js';
+  digestContent,
+  DIGEST_SCOPES,
+  type DigestInput,
+  type DigestScope,
+} from '@banyandrum/dispatch/content-digests.js';
 
-const ASKED: Asked = {
+const ASKED: DigestInput = {
   caller: '10.0.0.9',
   method: 'POST',
   host: 'beds.example',
@@ -15,10 +15,13 @@
   body: Buffer.from('one'),
 };
 
-const ALL: readonly Scope[] = SCOPES;
+const ALL: readonly DigestScope[] = DIGEST_SCOPES;
 
 /** Digests that two requests have in common. */
-const COMMON: readonly (readonly [Partial<Asked>, readonly Scope[]])[] = [
+const COMMON: readonly (readonly [
+  Partial<DigestInput>,
+  readonly DigestScope[],
+])[] = [
   [{body: Buffer.from('one')}, ALL],
   [{host: 'Beds.example:8381'}, ALL],
   [{caller: '10.0.0.10'}, ['anyCaller', 'anyQuery']],
@@ -35,9 +38,9 @@
 // What ends servers must be known again at any router, and what one caller's
 // request did must not be held against what others ask.
 void tap.test('requests have digests in common', async t => {
-  const own = contentsOf(ASKED);
+  const own = digestContent(ASKED);
   for (const [change, common] of COMMON) {
-    const other = contentsOf({...ASKED, ...change});
+    const other = digestContent({...ASKED, ...change});
     const same = ALL.filter(scope => own[scope] === other[scope]);
     t.same(same, common, JSON.stringify(change));
   }
--- a/packages/dispatch/test/server-ends.test.ts
+++ b/packages/dispatch/test/crash-detector.test.ts
@@ -3,9 +3,9 @@
 import type {Backend} from '@banyandrum/dispatch/backend.js';
 import {probeServer} from '@banyandrum/dispatch/probe-server.js';
 import {
-  createServerEnds,
-  type ProbeEnd,
-} from '@banyandrum/dispatch/server-ends.js';
+  createCrashDetector,
+  type ProbeResult,
+} from '@banyandrum/dispatch/crash-detector.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
 function backend(part: object = {}): Backend {
@@ -14,50 +14,56 @@
 
 interface Case {
   readonly what: string;
-  readonly probe: ProbeEnd;
+  readonly probe: ProbeResult;
   readonly isLeaving?: boolean;
   /** Another run is seen at the address after this time, in ms. */
   readonly replacedAfterMs?: number;
-  readonly isEnd: boolean;
+  readonly isCrash: boolean;
 }
 
 // Resets, cuts and planned ends look alike at first: a request is held against
 // what it asks only where the server's run is proved to have ended under it.
 const CASES: readonly Case[] = [
-  {what: 'its address refuses connections', probe: 'refused', isEnd: true},
-  {what: 'the connection was reset', probe: 'open', isEnd: false},
+  {what: 'its address refuses connections', probe: 'refused', isCrash: true},
+  {what: 'the connection was reset', probe: 'open', isCrash: false},
   {
     what: 'it is behind a cut, or lost its power',
     probe: 'silent',
-    isEnd: false,
+    isCrash: false,
   },
   {
     what: 'it started again at once',
-    ...{probe: 'open', replacedAfterMs: 1_200, isEnd: true},
+    ...{probe: 'open', replacedAfterMs: 1_200, isCrash: true},
   },
   {
     what: 'it was replaced long after',
-    ...{probe: 'open', replacedAfterMs: 9_000, isEnd: false},
+    ...{probe: 'open', replacedAfterMs: 9_000, isCrash: false},
   },
   {
     what: 'it left as planned',
-    ...{probe: 'refused', isLeaving: true, isEnd: false},
+    ...{probe: 'refused', isLeaving: true, isCrash: false},
   },
 ];
 
-for (const {what, probe, isLeaving = false, replacedAfterMs, isEnd} of CASES) {
+for (const {
+  what,
+  probe,
+  isLeaving = false,
+  replacedAfterMs,
+  isCrash: isEnd,
+} of CASES) {
   void tap.test(`a lost connection: ${what}`, async t => {
     const clock = createManualClock(1_000);
-    const ends = createServerEnds({clock, probe: async () => probe});
+    const ends = createCrashDetector({clock, probe: async () => probe});
     let strikes = 0;
-    await ends.lost(backend({isLeaving}), () => strikes++);
+    await ends.connectionLost(backend({isLeaving}), () => strikes++);
     if (replacedAfterMs !== undefined) {
       await clock.advance(replacedAfterMs);
       ends.noteReplaced('s1');
     }
     t.equal(strikes, isEnd ? 1 : 0);
     await clock.advance(10_000);
-    t.same(ends.watched(), []);
+    t.same(ends.watchedServers(), []);
   });
 }
 
@@ -65,15 +71,17 @@
 // longer than a moment; what is found later counts all the same.
 void tap.test('a request does not wait for a silent host', async t => {
   const clock = createManualClock(1_000);
-  let settle: (end: ProbeEnd) => void = () => undefined;
-  const probe = (): Promise<ProbeEnd> =>
+  let settle: (end: ProbeResult) => void = () => undefined;
+  const probe = (): Promise<ProbeResult> =>
     new Promise(resolve => {
       settle = resolve;
     });
-  const ends = createServerEnds({clock, probe});
+  const ends = createCrashDetector({clock, probe});
   let strikes = 0;
   let isOn = false;
-  const lost = ends.lost(backend(), () => strikes++).then(() => (isOn = true));
+  const lost = ends
+    .connectionLost(backend(), () => strikes++)
+    .then(() => (isOn = true));
   await clock.advance(60);
   t.ok(isOn);
   settle('refused');
@@ -85,13 +93,14 @@
 void tap.test('requests lost together share one probe', async t => {
   const clock = createManualClock(1_000);
   let probes = 0;
-  const probe = async (): Promise<ProbeEnd> => {
+  const probe = async (): Promise<ProbeResult> => {
     probes++;
     return 'refused';
   };
-  const ends = createServerEnds({clock, probe});
+  const ends = createCrashDetector({clock, probe});
   let strikes = 0;
-  const lose = (): Promise<void> => ends.lost(backend(), () => strikes++);
+  const lose = (): Promise<void> =>
+    ends.connectionLost(backend(), () => strikes++);
   await Promise.all([lose(), lose(), lose()]);
   await lose();
   t.equal(strikes, 4);
@@ -102,15 +111,15 @@
 // have ended is another's lost connection.
 void tap.test('a caller that left is held to what came of it', async t => {
   const clock = createManualClock(1_000);
-  const ends = createServerEnds({clock, probe: async () => 'refused'});
+  const ends = createCrashDetector({clock, probe: async () => 'refused'});
   let strikes = 0;
-  ends.left(backend(), () => strikes++);
+  ends.requestCancelled(backend(), () => strikes++);
   await clock.advance(400);
-  await ends.lost(backend(), () => undefined);
+  await ends.connectionLost(backend(), () => undefined);
   t.equal(strikes, 1);
-  ends.left(backend(), () => strikes++);
+  ends.requestCancelled(backend(), () => strikes++);
   await clock.advance(2_000);
-  await ends.lost(backend(), () => undefined);
+  await ends.connectionLost(backend(), () => undefined);
   t.equal(strikes, 1, 'long before the end it had no part in it');
 });
 
--- a/packages/dispatch/test/find-alone.test.ts
+++ b/packages/dispatch/test/find-without-leader.test.ts
@@ -2,7 +2,7 @@
 import {createCanceller} from '@banyandrum/base/cancel.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
 import {findTarget} from '@banyandrum/dispatch/find-target.js';
-import type {Journey} from '@banyandrum/dispatch/journey.js';
+import type {ForwardState} from '@banyandrum/dispatch/forward-state.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 import {NAMES} from './raw-server.js';
 
@@ -28,9 +28,15 @@
   const route = {targetLatencyMs: 500, priority: 1, kind: 'idempotent'};
   const journey = {
     cfg: {
-      ...{backends, clock, names: NAMES, dataCentre: 'a', routers: () => 81},
+      ...{
+        backends,
+        clock,
+        names: NAMES,
+        dataCentre: 'a',
+        routerCount: () => 81,
+      },
       emit: (event: string) => void events.push(event),
-      places: {acquire: async () => ({kind: 'unavailable'})},
+      slotProvider: {acquire: async () => ({kind: 'unavailable'})},
       quarantine: {standingOf: () => 'unknown'},
       limits: {takeShareToken: () => true},
       rests: {remainingMs: () => 0, count: () => 0},
@@ -40,7 +46,7 @@
       ...{deadline: 3_000, signal: createCanceller().signal},
     },
     excluded: new Set<string>(),
-  } as unknown as Journey;
+  } as unknown as ForwardState;
   const first = await findTarget(journey);
   t.equal(first?.backend.info.id, 'quick');
   const second = await findTarget(journey);
--- a/packages/dispatch/test/forward.test.ts
+++ b/packages/dispatch/test/forward.test.ts
@@ -4,11 +4,11 @@
 import {createClock} from '@banyandrum/base/clock.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
 import {forward} from '@banyandrum/dispatch/forward.js';
-import type {Reply} from '@banyandrum/dispatch/journey.js';
+import type {Reply} from '@banyandrum/dispatch/forward-state.js';
 import type {Owners} from '@banyandrum/dispatch/owners.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
 import {createRetryBudget} from '@banyandrum/dispatch/retry-budget.js';
-import {createServerEnds} from '@banyandrum/dispatch/server-ends.js';
+import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
 import {createServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {createServerRests} from '@banyandrum/dispatch/server-rests.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
@@ -83,12 +83,12 @@
     {
       backends,
       owners: NO_OWNERS,
-      places: {acquire: async () => ({kind: 'unavailable'})},
+      slotProvider: {acquire: async () => ({kind: 'unavailable'})},
       dataCentre: 'a',
       budget: createRetryBudget({ratio: 1, slack: 100}, () => 1),
       quarantine: createQuarantine(
         createSuspects(clock, () => undefined),
-        createServerEnds({clock, probe: async () => 'open'}),
+        createCrashDetector({clock, probe: async () => 'open'}),
       ),
       limits: createServerLimits({clock, emit: () => undefined}),
       rests: createServerRests({clock, emit: () => undefined}),
@@ -96,7 +96,7 @@
       names: NAMES,
       clock,
       emit: () => undefined,
-      routers: () => 1,
+      routerCount: () => 1,
     },
     {
       id: 'r1',
@@ -134,7 +134,7 @@
   readonly servers: readonly Behaviour[];
   readonly maxAttempts?: number;
   readonly arrivals: number;
-  readonly told: object;
+  readonly expected: object;
 }
 
 // What the caller is told must be true: `not-run` only where each server that
@@ -145,56 +145,56 @@
     kind: 'once',
     servers: [answer],
     arrivals: 1,
-    told: {kind: 'answer', answer: {status: 200}},
+    expected: {kind: 'answer', answer: {status: 200}},
   },
   {
     name: 'once, refused as not run: sent to another',
     kind: 'once',
     servers: [refuse, answer],
     arrivals: 2,
-    told: {kind: 'answer', answer: {status: 200}},
+    expected: {kind: 'answer', answer: {status: 200}},
   },
   {
     name: 'once, connection lost: never again, and it may have run',
     kind: 'once',
     servers: [reset, answer],
     arrivals: 1,
-    told: {kind: 'failure', failure: {verdict: 'may-have-run'}},
+    expected: {kind: 'failure', failure: {verdict: 'may-have-run'}},
   },
   {
     name: 'once, refused and then lost: it may have run',
     kind: 'once',
     servers: [refuse, reset, answer],
     arrivals: 2,
-    told: {kind: 'failure', failure: {verdict: 'may-have-run'}},
+    expected: {kind: 'failure', failure: {verdict: 'may-have-run'}},
   },
   {
     name: "once, failed by its server: the server's own answer",
     kind: 'once',
     servers: [failIt, answer],
     arrivals: 1,
-    told: {kind: 'answer', answer: {status: 500}},
+    expected: {kind: 'answer', answer: {status: 500}},
   },
   {
     name: 'once, a success that is not the server’s: no success',
     kind: 'once',
     servers: [unsigned, answer],
     arrivals: 1,
-    told: {kind: 'failure', failure: {verdict: 'ran'}},
+    expected: {kind: 'failure', failure: {verdict: 'ran'}},
   },
   {
     name: 'idempotent, connection lost: sent to another',
     kind: 'idempotent',
     servers: [reset, answer],
     arrivals: 2,
-    told: {kind: 'answer', answer: {status: 200}},
+    expected: {kind: 'answer', answer: {status: 200}},
   },
   {
     name: 'idempotent, lost on as many servers as allowed',
     kind: 'idempotent',
     servers: [reset],
     arrivals: 2,
-    told: {kind: 'failure', failure: {verdict: 'may-have-run'}},
+    expected: {kind: 'failure', failure: {verdict: 'may-have-run'}},
   },
   {
     name: 'idempotent, one attempt allowed',
@@ -202,25 +202,35 @@
     servers: [failIt, answer],
     maxAttempts: 1,
     arrivals: 1,
-    told: {kind: 'answer', answer: {status: 500}},
+    expected: {kind: 'answer', answer: {status: 500}},
   },
   {
     name: 'idempotent, a server at work: not ended for its silence',
     kind: 'idempotent',
     servers: [slow, answer],
     arrivals: 1,
-    told: {kind: 'answer', answer: {status: 200}},
+    expected: {kind: 'answer', answer: {status: 200}},
   },
   {
     name: 'refused by all: not run, and when to come back',
     kind: 'once',
     servers: [refuse],
     arrivals: 3,
-    told: {kind: 'failure', failure: {verdict: 'not-run', retryAfterMs: 150}},
+    expected: {
+      kind: 'failure',
+      failure: {verdict: 'not-run', retryAfterMs: 150},
+    },
   },
 ];
 
-for (const {name, kind, servers, maxAttempts, arrivals, told} of CASES) {
+for (const {
+  name,
+  kind,
+  servers,
+  maxAttempts,
+  arrivals,
+  expected: told,
+} of CASES) {
   void tap.test(name, async t => {
     const outcome = await send(kind, servers, maxAttempts);
     t.match(outcome.reply, told);
--- a/packages/dispatch/test/limits-load.test.ts
+++ b/packages/dispatch/test/limits-load.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {playLimits, type LimitLoad} from './play-limits.js';
+import {simulateLimits, type LimitLoad} from './simulate-limits.js';
 
 const WINDOW_MS = 4_000;
 /** Time after the first report before a limit must be enforced, in ms. */
@@ -56,7 +56,7 @@
 for (const routers of [4, 10, 59]) {
   for (const {what, limit, leaderless, minUsed} of CASES) {
     void tap.test(`${routers} routers share ${what}`, async t => {
-      const outcomes = await playLimits({
+      const outcomes = await simulateLimits({
         ...{seed: routers, seconds: SECONDS, routers, perSecond: 120},
         limits: [limit, limit, limit],
         ...(leaderless !== undefined && {leaderless}),
--- a/packages/dispatch/test/overload.test.ts
+++ b/packages/dispatch/test/overload.test.ts
@@ -1,20 +1,25 @@
 import tap from 'tap';
-import {playLoad, worthOf, type CallerKind, type Load} from './play-load.js';
+import {
+  simulateLoad,
+  totalValue,
+  type CallerKind,
+  type Load,
+} from './simulate-load.js';
 
 /** Unlike servers, as deployments have them. */
 const SLOWNESS = [0.7, 0.85, 1, 1.15, 1.3];
 
 const LOOKUP: CallerKind = {
   ...{name: 'lookup', perSecond: 0, priority: 2, workMs: 90},
-  ...{aimMs: 300, limitMs: 800, lateWorth: 0.3},
+  ...{targetMs: 300, limitMs: 800, lateValue: 0.3},
 };
 const SETTLE: CallerKind = {
   ...{name: 'settle', perSecond: 0, priority: 0, workMs: 63},
-  ...{aimMs: 200, limitMs: 500, lateWorth: 0.3},
+  ...{targetMs: 200, limitMs: 500, lateValue: 0.3},
 };
 const PRICE: CallerKind = {
   ...{name: 'price', perSecond: 0, priority: 2, workMs: 36},
-  ...{aimMs: 150, limitMs: 400, lateWorth: 0.3},
+  ...{targetMs: 150, limitMs: 400, lateValue: 0.3},
 };
 
 const SLOTS = 4;
@@ -38,33 +43,33 @@
 }
 
 interface Sum {
-  readonly worth: number;
+  readonly value: number;
   readonly lateShare: number;
   /** Of callers that weren't served, nine in ten were held less long. */
-  readonly heldMs: number;
+  readonly waitedMs: number;
 }
 
-async function playAll(makeLoad: (seed: number) => Load): Promise<Sum> {
+async function simulateAll(makeLoad: (seed: number) => Load): Promise<Sum> {
   let worth = 0;
   let late = 0;
   let asked = 0;
   const held: number[] = [];
   for (const seed of SEEDS) {
     const load = makeLoad(seed);
-    const outcomes = await playLoad(load);
-    worth += worthOf(load, outcomes) / SEEDS.length;
+    const outcomes = await simulateLoad(load);
+    worth += totalValue(load, outcomes) / SEEDS.length;
     for (const outcome of outcomes.values()) {
       late += outcome.late;
       asked += outcome.asked;
-      held.push(...outcome.heldMs);
+      held.push(...outcome.waitedMs);
     }
   }
   held.sort((a, b) => a - b);
   const heldMs = held[Math.floor(held.length * 0.9)] ?? 0;
-  return {worth, lateShare: late / asked, heldMs};
+  return {value: worth, lateShare: late / asked, waitedMs: heldMs};
 }
 
-function describe({worth, lateShare, heldMs}: Sum): string {
+function describe({value: worth, lateShare, waitedMs: heldMs}: Sum): string {
   return `worth ${worth.toFixed(3)}, late ${lateShare.toFixed(3)}, held ${Math.round(heldMs)} ms`;
 }
 
@@ -74,10 +79,12 @@
 // time. With the newest first and the oldest pushed out late, those refused
 // were held for 632 ms of their 800 in the mean, for the same worth.
 void tap.test('overload of a keyed service', async t => {
-  const sum = await playAll(seed => loadOf(seed, true, [times(1.3, LOOKUP)]));
+  const sum = await simulateAll(seed =>
+    loadOf(seed, true, [times(1.3, LOOKUP)]),
+  );
   t.comment(describe(sum));
-  t.ok(sum.worth > 0.74, 'as many are served');
-  t.ok(sum.heldMs <= LOOKUP.aimMs / 8, 'told within an eighth of the aim');
+  t.ok(sum.value > 0.74, 'as many are served');
+  t.ok(sum.waitedMs <= LOOKUP.targetMs / 8, 'told within an eighth of the aim');
 });
 
 // The same where any server will do, with an urgent kind that must not be
@@ -86,29 +93,31 @@
 void tap.test('overload of two kinds at one service', async t => {
   const make = (seed: number): Load =>
     loadOf(seed, false, [times(0.7, SETTLE), times(0.6, PRICE)]);
-  const sum = await playAll(make);
+  const sum = await simulateAll(make);
   t.comment(describe(sum));
-  t.ok(sum.worth > 0.74);
-  t.ok(sum.heldMs <= SETTLE.limitMs / 2);
+  t.ok(sum.value > 0.74);
+  t.ok(sum.waitedMs <= SETTLE.limitMs / 2);
   const [load] = SEEDS.map(make);
-  const outcomes = await playLoad(load!);
-  t.ok(outcomes.get('settle')!.worth > 0.99, 'the urgent kind is served');
+  const outcomes = await simulateLoad(load!);
+  t.ok(outcomes.get('settle')!.value > 0.99, 'the urgent kind is served');
 });
 
 // Short of its limit, a service must not refuse callers that it could serve.
 void tap.test('a busy service that isn’t overloaded', async t => {
-  const sum = await playAll(seed => loadOf(seed, false, [times(0.85, LOOKUP)]));
+  const sum = await simulateAll(seed =>
+    loadOf(seed, false, [times(0.85, LOOKUP)]),
+  );
   t.comment(describe(sum));
-  t.ok(sum.worth > 0.99);
+  t.ok(sum.value > 0.99);
 });
 
 const HISTORY: CallerKind = {
   ...{name: 'history', perSecond: 0, priority: 2, workMs: 441},
-  ...{aimMs: 1_204, limitMs: 5_004, lateWorth: 0.5},
+  ...{targetMs: 1_204, limitMs: 5_004, lateValue: 0.5},
 };
 const STATEMENT: CallerKind = {
   ...{name: 'statement', perSecond: 0, priority: 2, workMs: 711},
-  ...{aimMs: 2_005, limitMs: 8_004, lateWorth: 0.5},
+  ...{targetMs: 2_005, limitMs: 8_004, lateValue: 0.5},
 };
 const SHARE = 0.3;
 
@@ -134,9 +143,9 @@
     const shares = {history: 0, statement: 0};
     for (const seed of SEEDS) {
       const load = {...loadOf(seed, isKeyed, both(1.3)), seconds: 12};
-      const outcomes = await playLoad(load);
-      shares.history += outcomes.get('history')!.worth / SEEDS.length;
-      shares.statement += outcomes.get('statement')!.worth / SEEDS.length;
+      const outcomes = await simulateLoad(load);
+      shares.history += outcomes.get('history')!.value / SEEDS.length;
+      shares.statement += outcomes.get('statement')!.value / SEEDS.length;
     }
     const {history, statement} = shares;
     t.comment(`history ${history.toFixed(3)}, ${statement.toFixed(3)}`);
@@ -147,7 +156,7 @@
 
 const VACANCY: CallerKind = {
   ...{name: 'vacancy', perSecond: 0, priority: 2, workMs: 120},
-  ...{aimMs: 400, limitMs: 1_500, lateWorth: 0.1},
+  ...{targetMs: 400, limitMs: 1_500, lateValue: 0.1},
 };
 
 // A burst of requests whose late answers are worth little. Callers that were
@@ -159,11 +168,14 @@
     const load = (seed: number): Load => ({
       ...loadOf(seed, isKeyed, [times(1.3, VACANCY)]),
     });
-    const known = await playAll(load);
-    const taken = await playAll(seed => ({...load(seed), takesForNew: true}));
+    const known = await simulateAll(load);
+    const taken = await simulateAll(seed => ({
+      ...load(seed),
+      treatsRetriesAsNew: true,
+    }));
     t.comment(`known: ${describe(known)}`);
     t.comment(`taken for new ones: ${describe(taken)}`);
-    t.ok(known.worth > taken.worth + 0.1);
+    t.ok(known.value > taken.value + 0.1);
     t.ok(known.lateShare < taken.lateShare / 2);
   });
 }
--- a/packages/dispatch/test/quarantine.test.ts
+++ b/packages/dispatch/test/quarantine.test.ts
@@ -1,10 +1,10 @@
 import tap from 'tap';
-import type {AttemptEnd, LossReason} from '@banyandrum/dispatch/attempt.js';
+import type {AttemptResult, LossReason} from '@banyandrum/dispatch/attempt.js';
 import type {Backend} from '@banyandrum/dispatch/backend.js';
-import type {ForwardRequest} from '@banyandrum/dispatch/journey.js';
-import type {PlaceEnd} from '@banyandrum/dispatch/places.js';
+import type {ForwardRequest} from '@banyandrum/dispatch/forward-state.js';
+import type {SlotOutcome} from '@banyandrum/dispatch/slots.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
-import {createServerEnds} from '@banyandrum/dispatch/server-ends.js';
+import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
 import type {Standing} from '@banyandrum/dispatch/suspect.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
@@ -18,19 +18,19 @@
   info: {id: 's1', isLeaving: false},
 } as unknown as Backend;
 
-function lost(reason: LossReason, isWritten = true): AttemptEnd {
+function lost(reason: LossReason, isWritten = true): AttemptResult {
   return {
     ...{kind: 'lost', reason, isWritten, detail: ''},
     fields: new Map(),
   };
 }
 
-const ANSWERED = {kind: 'answered'} as AttemptEnd;
+const ANSWERED = {kind: 'answered'} as AttemptResult;
 
 interface Case {
   readonly what: string;
-  readonly end: AttemptEnd;
-  readonly how: PlaceEnd;
+  readonly end: AttemptResult;
+  readonly how: SlotOutcome;
   /** What is believed of it then, where it was unknown and suspected. */
   readonly after: readonly [Standing, Standing];
 }
@@ -75,17 +75,23 @@
   },
 ];
 
-for (const {what, end, how, after} of CASES) {
+for (const {what, end: result, how: slotOutcome, after} of CASES) {
   void tap.test(`what an attempt shows: ${what}`, async t => {
     for (const [at, wasSuspected] of [false, true].entries()) {
       const clock = createManualClock(1_000);
       const suspects = createSuspects(clock, () => undefined);
-      const ends = createServerEnds({clock, probe: async () => 'refused'});
+      const ends = createCrashDetector({clock, probe: async () => 'refused'});
       const quarantine = createQuarantine(suspects, ends);
       const struck = {...REQ, contents: CONTENTS, route: 'checks'};
-      if (wasSuspected) suspects.strike(struck, 's0', false);
-      const attempt = {req: REQ, backend: BACKEND, end, how, isTrial: true};
-      await quarantine.note({...attempt, sentAt: 1_000});
+      if (wasSuspected) suspects.addStrike(struck, 's0', false);
+      const attempt = {
+        req: REQ,
+        backend: BACKEND,
+        result: result,
+        slotOutcome: slotOutcome,
+        isTrial: true,
+      };
+      await quarantine.noteAttempt({...attempt, sentAt: 1_000});
       t.equal(quarantine.standingOf(REQ), after[at]);
     }
   });
--- a/packages/dispatch/test/raw-server.ts
+++ b/packages/dispatch/test/raw-server.ts
@@ -7,7 +7,10 @@
 } from 'node:net';
 import type {Clock} from '@banyandrum/base/clock.js';
 import {createClock} from '@banyandrum/base/clock.js';
-import {startAttempt, type AttemptEnd} from '@banyandrum/dispatch/attempt.js';
+import {
+  startAttempt,
+  type AttemptResult,
+} from '@banyandrum/dispatch/attempt.js';
 import {createServerConnections} from '@banyandrum/dispatch/connections.js';
 import type {WireNames} from '@banyandrum/dispatch/wire.js';
 
@@ -56,7 +59,7 @@
 }
 
 /** A path to a server that is cut at first. */
-export interface Cut {
+export interface CutPath {
   readonly origin: string;
   /** From now on bytes pass, those that waited first. */
   heal(): void;
@@ -67,7 +70,7 @@
  * Starts a cut path to the server at `port`. As on a real one, bytes that wait
  * are lost where their sender resets its connection, and only there.
  */
-export async function startCut(port: number): Promise<Cut> {
+export async function startCutPath(port: number): Promise<CutPath> {
   const sockets = new Set<Socket>();
   const heals = new Set<() => void>();
   const server = createServer(near => {
@@ -97,11 +100,11 @@
 }
 
 /** Sends one request on a new connection to `origin`. */
-export async function askOnce(
+export async function sendOnce(
   origin: string,
   withinMs = 2_000,
   clock: Clock = createClock(),
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   const connections = createServerConnections(origin, 1);
   const connection = connections.acquire()!;
   const attempt = startAttempt(connection, NAMES, clock, {
@@ -112,7 +115,7 @@
     requestId: 'r1',
     withinMs,
   });
-  const end = await attempt.end;
+  const end = await attempt.result;
   connections.release(connection, false);
   return end;
 }
--- a/packages/dispatch/test/retry-budget.test.ts
+++ b/packages/dispatch/test/retry-budget.test.ts
@@ -12,8 +12,8 @@
       const budget = createRetryBudget(allowance, () => routers);
       const own = Math.floor(requests / routers);
       for (let sent = 0; sent < own; sent++) {
-        budget.earn('holds');
-        while (budget.spend('holds')) repeats++;
+        budget.deposit('holds');
+        while (budget.tryWithdraw('holds')) repeats++;
       }
     }
     const most = allowance.ratio * requests + allowance.slack;
--- a/packages/dispatch/test/server-limits.test.ts
+++ b/packages/dispatch/test/server-limits.test.ts
@@ -6,7 +6,7 @@
 import {readLimit} from '@banyandrum/dispatch/wire.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
-interface Scene {
+interface Fixture {
   readonly limits: ServerLimits;
   readonly events: string[];
   /** Notes an answer to a request that was sent `agoMs` earlier. */
@@ -14,7 +14,7 @@
   wait(ms: number): Promise<void>;
 }
 
-function scene(): Scene {
+function setUp(): Fixture {
   const clock = createManualClock(1_000);
   const events: string[] = [];
   const limits = createServerLimits({
@@ -57,7 +57,7 @@
 });
 
 void tap.test('an unreadable limit is logged and changes nothing', async t => {
-  const {limits, events, answer, wait} = scene();
+  const {limits, events, answer, wait} = setUp();
   answer('5', 10);
   for (let count = 0; count < 100; count++) answer('NaN', 10);
   t.equal(limits.limitOf('s1'), 5);
@@ -68,7 +68,7 @@
 });
 
 void tap.test('late answers do not restore an old limit', async t => {
-  const {limits, answer, wait} = scene();
+  const {limits, answer, wait} = setUp();
   answer('5', 100);
   await wait(50);
   answer(undefined, 100);
@@ -89,7 +89,7 @@
 });
 
 void tap.test('limits are exchanged between routers', async t => {
-  const {limits, answer, wait} = scene();
+  const {limits, answer, wait} = setUp();
   const heard: unknown[] = [];
   limits.subscribe((row, isOwn) => heard.push([...row, isOwn]));
   limits.mergeFromLeader([
--- a/packages/dispatch/test/play-limits.ts
+++ b/packages/dispatch/test/simulate-limits.ts
@@ -1,9 +1,9 @@
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
 import {
-  createPlaceIssuer,
-  type PlaceIssuer,
-} from '@banyandrum/dispatch/place-issuer.js';
+  createSlotAllocator,
+  type SlotAllocator,
+} from '@banyandrum/dispatch/slot-allocator.js';
 import {
   createServerLimits,
   type ServerLimits,
@@ -37,10 +37,10 @@
 /** One-way delay between routers, in ms. */
 const LINK_DELAY_MS = 2;
 /** Delay with which the leader batches updates to followers, in ms. */
-const TELL_DELAY_MS = 10;
+const BROADCAST_DELAY_MS = 10;
 
 /** Simulates the load on a manual clock. */
-export async function playLimits(
+export async function simulateLimits(
   load: LimitLoad,
 ): Promise<readonly LimitOutcome[]> {
   const clock = createManualClock(1_000);
@@ -57,12 +57,12 @@
     createServerLimits({clock, emit: quiet, random}),
   );
   const arrivals = infos.map((): number[] => []);
-  let issuer: PlaceIssuer | null = null;
+  let issuer: SlotAllocator | null = null;
   let leader = 0;
 
   const lead = (router: number): void => {
     leader = router;
-    issuer = createPlaceIssuer({
+    issuer = createSlotAllocator({
       ...{backends, clock, emit: quiet, limits: routers[router]!},
       suspects: createSuspects(clock, quiet, () => 0),
       ownerOf: () => ({kind: 'none'}),
@@ -84,7 +84,7 @@
   };
   routers.forEach((limits, at) =>
     limits.subscribe((row, isOwn) => {
-      if (at === leader) clock.after(TELL_DELAY_MS, tellAll);
+      if (at === leader) clock.after(BROADCAST_DELAY_MS, tellAll);
       if (at === leader || !isOwn || issuer === null) return;
       clock.after(LINK_DELAY_MS, () =>
         routers[leader]!.mergeFromFollower([row]),
@@ -114,7 +114,7 @@
       if (free >= 0) run(own, (first + free) % infos.length, quiet);
       return;
     }
-    const end = issuer.ask(
+    const end = issuer.allocate(
       {
         ...{id: 'r', service: SERVICE, key: null, priority: 0},
         ...{leftMs: 1_400, aimLeftMs: 500, askedMs: 0},
--- a/packages/dispatch/test/play-load.ts
+++ b/packages/dispatch/test/simulate-load.ts
@@ -2,10 +2,10 @@
 import {createBackends} from '@banyandrum/dispatch/backends.js';
 import type {Owner} from '@banyandrum/dispatch/owners.js';
 import {
-  createPlaceIssuer,
-  type PlaceIssuer,
-} from '@banyandrum/dispatch/place-issuer.js';
-import type {PlaceReply} from '@banyandrum/dispatch/places.js';
+  createSlotAllocator,
+  type SlotAllocator,
+} from '@banyandrum/dispatch/slot-allocator.js';
+import type {SlotReply} from '@banyandrum/dispatch/slots.js';
 import {createServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
 import {
@@ -23,10 +23,10 @@
   /** Mean time of a request at a server of usual speed, in ms. */
   readonly workMs: number;
   /** Answers within this time are worth most, in ms. */
-  readonly aimMs: number;
+  readonly targetMs: number;
   readonly limitMs: number;
   /** What an answer after the aim is worth, 0 to 1. */
-  readonly lateWorth: number;
+  readonly lateValue: number;
 }
 
 /** Servers, callers and how long they are watched. */
@@ -40,35 +40,35 @@
   /** Whether each key belongs to one server. */
   readonly isKeyed: boolean;
   /** Whether callers that come back are taken for new ones. */
-  readonly takesForNew?: boolean;
+  readonly treatsRetriesAsNew?: boolean;
 }
 
 /** What callers of one kind got. */
 export interface Outcome {
   asked: number;
-  inAim: number;
+  onTime: number;
   late: number;
   unserved: number;
   /** Of all worth, the share that was earned. */
-  worth: number;
+  value: number;
   /** Of the unserved: the time for which they were held in all, in ms. */
-  heldMs: number[];
+  waitedMs: number[];
   /** Refused after they had come back from a refusal. */
   refusedAgain: number;
 }
 
-interface World {
+interface Simulation {
   readonly load: Load;
   readonly clock: ManualClock;
-  readonly issuer: PlaceIssuer;
+  readonly issuer: SlotAllocator;
   readonly random: () => number;
   readonly slownessOf: ReadonlyMap<string, number>;
 }
 
 /** Callers wait at most this share of their time before they come back. */
-const MOST_PAUSE = 1 / 3;
+const MAX_RETRY_DELAY_SHARE = 1 / 3;
 /** The way there and back, in ms. */
-const TRAVEL_MS = 2;
+const ROUND_TRIP_MS = 2;
 const KEYS = 64;
 const SERVICE = 'desks';
 
@@ -76,7 +76,7 @@
  * Plays the load on a place issuer; callers come back once after a refusal, as
  * they are told.
  */
-export async function playLoad(
+export async function simulateLoad(
   load: Load,
 ): Promise<ReadonlyMap<string, Outcome>> {
   const clock = createManualClock(1_000);
@@ -88,7 +88,7 @@
     kind: 'held',
     server: servers[key % servers.length]!.id,
   });
-  const issuer = createPlaceIssuer({
+  const issuer = createSlotAllocator({
     ...{backends, clock},
     emit: () => undefined,
     suspects: createSuspects(clock, () => undefined),
@@ -98,7 +98,7 @@
   const slownessOf = new Map(
     servers.map(({id}, at) => [id, load.slowness[at]!]),
   );
-  const world: World = {load, clock, issuer, random, slownessOf};
+  const world: Simulation = {load, clock, issuer, random, slownessOf};
   const outcomes = new Map<string, Outcome>();
   for (const kind of load.kinds) {
     const outcome = createOutcome();
@@ -111,12 +111,12 @@
   }
   const longest = Math.max(...load.kinds.map(({limitMs}) => limitMs));
   await clock.advance(load.seconds * 1_000 + longest * 2);
-  for (const {name} of load.kinds) finish(load, outcomes, name);
+  for (const {name} of load.kinds) computeValue(load, outcomes, name);
   return outcomes;
 }
 
 /** All that was earned, of all that could be. */
-export function worthOf(
+export function totalValue(
   load: Load,
   outcomes: ReadonlyMap<string, Outcome>,
 ): number {
@@ -125,15 +125,15 @@
   for (const {name} of load.kinds) {
     const outcome = outcomes.get(name)!;
     asked += outcome.asked;
-    earned += outcome.worth * outcome.asked;
+    earned += outcome.value * outcome.asked;
   }
   return earned / asked;
 }
 
 function createOutcome(): Outcome {
   return {
-    ...{asked: 0, inAim: 0, late: 0, unserved: 0},
-    ...{worth: 0, heldMs: [], refusedAgain: 0},
+    ...{asked: 0, onTime: 0, late: 0, unserved: 0},
+    ...{value: 0, waitedMs: [], refusedAgain: 0},
   };
 }
 
@@ -145,7 +145,7 @@
 }
 
 /** One caller's request, with its second attempt. */
-function call(world: World, kind: CallerKind, outcome: Outcome): void {
+function call(world: Simulation, kind: CallerKind, outcome: Outcome): void {
   const {clock, random, load} = world;
   const began = clock.now();
   const key = load.isKeyed ? Math.floor(random() * KEYS) : null;
@@ -154,14 +154,14 @@
 
   const giveUp = (isAgain: boolean): void => {
     outcome.unserved++;
-    outcome.heldMs.push(heldMs);
+    outcome.waitedMs.push(heldMs);
     if (isAgain) outcome.refusedAgain++;
   };
 
   const attempt = (isAgain: boolean): void => {
     const askedAt = clock.now();
     const leftMs = kind.limitMs - (askedAt - began);
-    if (leftMs < TRAVEL_MS) return giveUp(isAgain);
+    if (leftMs < ROUND_TRIP_MS) return giveUp(isAgain);
     let isOver = false;
     const cancelGone = clock.after(leftMs, () => {
       if (isOver) return;
@@ -170,7 +170,7 @@
       end('cancelled', 0);
       giveUp(isAgain);
     });
-    const take = (reply: PlaceReply): void => {
+    const take = (reply: SlotReply): void => {
       if (isOver) return;
       if (reply.kind === 'granted') return run(reply.server);
       isOver = true;
@@ -178,8 +178,8 @@
       heldMs += clock.now() - askedAt;
       if (isAgain || reply.kind !== 'refused') return giveUp(isAgain);
       const left = kind.limitMs - (clock.now() - began);
-      const pause = Math.min(reply.retryAfterMs, left * MOST_PAUSE);
-      clock.after(pause + TRAVEL_MS, () => attempt(true));
+      const pause = Math.min(reply.retryAfterMs, left * MAX_RETRY_DELAY_SHARE);
+      clock.after(pause + ROUND_TRIP_MS, () => attempt(true));
     };
     const run = (server: string): void => {
       const shape = 0.5 + random();
@@ -189,15 +189,15 @@
         if (isOver) return;
         isOver = true;
         cancelGone();
-        if (clock.now() - began <= kind.aimMs) outcome.inAim++;
+        if (clock.now() - began <= kind.targetMs) outcome.onTime++;
         else outcome.late++;
       });
     };
-    const goneMs = load.takesForNew ? 0 : kind.limitMs - leftMs;
-    const end = world.issuer.ask(
+    const goneMs = load.treatsRetriesAsNew ? 0 : kind.limitMs - leftMs;
+    const end = world.issuer.allocate(
       {
         ...{id: 'r', service: SERVICE, key, priority: kind.priority},
-        ...{leftMs, aimLeftMs: kind.aimMs - goneMs, askedMs: goneMs},
+        ...{leftMs, aimLeftMs: kind.targetMs - goneMs, askedMs: goneMs},
         ...{excluded: [], dataCentre: 'a'},
       },
       reply => clock.after(0, () => take(reply)),
@@ -206,13 +206,13 @@
   attempt(false);
 }
 
-function finish(
+function computeValue(
   {kinds}: Load,
   outcomes: ReadonlyMap<string, Outcome>,
   name: string,
 ): void {
   const outcome = outcomes.get(name)!;
-  const {lateWorth} = kinds.find(kind => kind.name === name)!;
-  const {asked, inAim, late} = outcome;
-  outcome.worth = (inAim + late * lateWorth) / asked;
+  const {lateValue: lateWorth} = kinds.find(kind => kind.name === name)!;
+  const {asked, onTime: inAim, late} = outcome;
+  outcome.value = (inAim + late * lateWorth) / asked;
 }
--- a/packages/dispatch/test/play-poison.ts
+++ b/packages/dispatch/test/simulate-poison.ts
@@ -1,12 +1,12 @@
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
-import type {Contents} from '@banyandrum/dispatch/content.js';
+import type {ContentDigests} from '@banyandrum/dispatch/content-digests.js';
 import {
-  createPlaceIssuer,
-  type PlaceIssuer,
-} from '@banyandrum/dispatch/place-issuer.js';
-import type {PlaceEnd, PlaceReply} from '@banyandrum/dispatch/places.js';
-import {isWorthTelling} from '@banyandrum/dispatch/suspect.js';
+  createSlotAllocator,
+  type SlotAllocator,
+} from '@banyandrum/dispatch/slot-allocator.js';
+import type {SlotOutcome, SlotReply} from '@banyandrum/dispatch/slots.js';
+import {shouldBroadcast} from '@banyandrum/dispatch/suspect.js';
 import {createServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {createSuspects, type Suspects} from '@banyandrum/dispatch/suspects.js';
 import {
@@ -22,9 +22,9 @@
   readonly routers: number;
   readonly servers: number;
   /** Different requests that end servers; each comes ten times a second. */
-  readonly bad: number;
+  readonly poisonRequests: number;
   /** Other requests a second, a tenth of them for one busy content. */
-  readonly goodPerSecond: number;
+  readonly normalPerSecond: number;
   /** No router leads for `LEADERLESS_MS` from this time on, in ms. */
   readonly leaderLostAt?: number;
   /** A seventh of the servers ends at this time, in ms. */
@@ -34,15 +34,15 @@
 /** What came of it. */
 export interface PoisonOutcome {
   /** Servers that ended under bad requests. */
-  ended: number;
+  crashes: number;
   /** From the third end under one bad request to its last send, in ms. */
-  longestMs: number;
+  lastSendMs: number;
   /** Sends of one bad request later than `LATE_MS` after its third end. */
   lateSends: number;
-  good: number;
-  goodServed: number;
+  normal: number;
+  normalServed: number;
   /** Good requests refused as quarantined. */
-  goodRefused: number;
+  normalRefused: number;
 }
 
 interface Server {
@@ -50,15 +50,15 @@
   readonly running: Set<() => void>;
 }
 
-interface Ask {
-  readonly contents: Contents;
-  readonly bad: number | null;
+interface SimulatedRequest {
+  readonly contents: ContentDigests;
+  readonly poisonId: number | null;
   readonly router: number;
 }
 
-interface Sends {
-  ends: number;
-  thirdAt: number;
+interface CrashCount {
+  crashes: number;
+  thirdCrashAt: number;
 }
 
 /** A time limit of the rules, in ms. */
@@ -68,39 +68,39 @@
 const SLOTS = 4;
 const WORK_MS = 90;
 /** From the start of a bad request's run to its server's end, in ms. */
-const FATAL_MS = 40;
+const TIME_TO_CRASH_MS = 40;
 /** A server that ended is back after this time, in ms. */
-const BACK_MS = 2_300;
+const RESTART_MS = 2_300;
 /** One way between routers, in ms. */
-const WAY_MS = 2;
+const LINK_DELAY_MS = 2;
 /** To find that an address refuses connections, in ms. */
 const PROBE_MS = 2;
 const MAX_ATTEMPTS = 2;
 /** How often a caller asks again, and after which time, in ms. */
 const CALLS = 3;
-const AGAIN_MS = 150;
+const RETRY_MS = 150;
 
 /** Plays the load on a manual clock. */
-export async function playPoison(load: PoisonLoad): Promise<PoisonOutcome> {
-  const world = createWorld(load);
+export async function simulatePoison(load: PoisonLoad): Promise<PoisonOutcome> {
+  const world = createSimulation(load);
   const {clock, random} = world;
-  const {seconds, bad, routers} = load;
+  const {seconds, poisonRequests: bad, routers} = load;
   for (let at = 0; at < seconds * 1_000; at += 100) {
     for (let number = 0; number < bad; number++) {
       clock.after(at + random() * 100, () =>
         world.call({
           contents: contentsOf(`bad${number}`, Math.floor(random() * 40)),
-          ...{bad: number, router: Math.floor(random() * routers)},
+          ...{poisonId: number, router: Math.floor(random() * routers)},
         }),
       );
     }
   }
-  for (let at = 0; at < load.goodPerSecond * seconds; at++) {
+  for (let at = 0; at < load.normalPerSecond * seconds; at++) {
     const path = random() < 0.1 ? 'busy' : `good${at}`;
     clock.after(random() * seconds * 1_000, () =>
       world.call({
         contents: contentsOf(path, Math.floor(random() * 40)),
-        ...{bad: null, router: Math.floor(random() * routers)},
+        ...{poisonId: null, router: Math.floor(random() * routers)},
       }),
     );
   }
@@ -112,20 +112,20 @@
   return world.outcome;
 }
 
-function contentsOf(path: string, caller: number): Contents {
+function contentsOf(path: string, caller: number): ContentDigests {
   return {exact: `${path} ${caller}`, anyCaller: `${path} any`, anyQuery: path};
 }
 
-interface World {
+interface Simulation {
   readonly clock: ManualClock;
   readonly random: () => number;
   readonly outcome: PoisonOutcome;
-  call(ask: Ask): void;
+  call(ask: SimulatedRequest): void;
   crashSome(): void;
   loseLeader(): void;
 }
 
-function createWorld(load: PoisonLoad): World {
+function createSimulation(load: PoisonLoad): Simulation {
   const clock = createManualClock(1_000);
   const random = createRandom(load.seed);
   const quiet = (): void => undefined;
@@ -135,40 +135,43 @@
   );
   const servers = new Map<string, Server>();
   const backends = createBackends(clock);
-  const sends = new Map<number, Sends>();
+  const sends = new Map<number, CrashCount>();
   const outcome: PoisonOutcome = {
-    ...{ended: 0, longestMs: 0, lateSends: 0},
-    ...{good: 0, goodServed: 0, goodRefused: 0},
+    ...{crashes: 0, lastSendMs: 0, lateSends: 0},
+    ...{normal: 0, normalServed: 0, normalRefused: 0},
   };
   const told = new Set<string>();
   let started = 0;
   let leader: number | null = 0;
-  let issuer: PlaceIssuer | null = null;
+  let issuer: SlotAllocator | null = null;
 
   const lead = (router: number): void => {
     leader = router;
-    issuer = createPlaceIssuer({
+    issuer = createSlotAllocator({
       ...{backends, clock, emit: quiet, suspects: tables[router]!},
       limits,
       ownerOf: () => ({kind: 'none'}),
     });
     // Those who follow it tell what they know.
     for (const table of tables) tables[router]!.merge(table.rows());
-    tables[router]!.judge();
+    tables[router]!.applyQuarantineRules();
   };
 
   tables.forEach((own, at) =>
     own.subscribe((rows, isOwn) => {
       if (leader === at) {
-        own.judge();
+        own.applyQuarantineRules();
         for (const row of own.rows()) {
-          if (isWorthTelling(row)) told.add(row.content);
+          if (shouldBroadcast(row)) told.add(row.content);
         }
         const news = own.rows().filter(({content}) => told.has(content));
-        clock.after(WAY_MS, () => tables.forEach(each => each.merge(news)));
+        clock.after(LINK_DELAY_MS, () =>
+          tables.forEach(each => each.merge(news)),
+        );
       } else if (isOwn) {
         const to = leader;
-        if (to !== null) clock.after(WAY_MS, () => tables[to]!.merge(rows));
+        if (to !== null)
+          clock.after(LINK_DELAY_MS, () => tables[to]!.merge(rows));
       }
     }),
   );
@@ -188,32 +191,32 @@
     if (!servers.delete(server.info.id)) return;
     for (const lose of server.running) lose();
     clock.after(500, list);
-    clock.after(BACK_MS, start);
+    clock.after(RESTART_MS, start);
   };
   for (let at = 0; at < load.servers; at++) start();
   lead(0);
 
   const noteSend = (bad: number): void => {
     const own = sends.get(bad);
-    if (own === undefined || own.ends < 3) return;
-    const ms = clock.now() - own.thirdAt;
-    outcome.longestMs = Math.max(outcome.longestMs, ms);
+    if (own === undefined || own.crashes < 3) return;
+    const ms = clock.now() - own.thirdCrashAt;
+    outcome.lastSendMs = Math.max(outcome.lastSendMs, ms);
     if (ms > LATE_MS) outcome.lateSends++;
   };
   const noteEnd = (bad: number): void => {
-    const own = sends.get(bad) ?? {ends: 0, thirdAt: 0};
+    const own = sends.get(bad) ?? {crashes: 0, thirdCrashAt: 0};
     sends.set(bad, own);
-    own.ends++;
-    if (own.ends === 3) own.thirdAt = clock.now();
-    outcome.ended++;
+    own.crashes++;
+    if (own.crashes === 3) own.thirdCrashAt = clock.now();
+    outcome.crashes++;
   };
 
   /** One attempt at a server; null where it has none. */
   const run = (
-    ask: Ask,
+    ask: SimulatedRequest,
     id: string,
     isTrial: boolean,
-    done: (how: PlaceEnd, tookMs: number) => void,
+    done: (how: SlotOutcome, tookMs: number) => void,
   ): void => {
     const server = servers.get(id);
     const own = tables[ask.router]!;
@@ -221,48 +224,51 @@
       return void clock.after(PROBE_MS, () => done('unreached', 0));
     }
     const began = clock.now();
-    if (ask.bad !== null) noteSend(ask.bad);
+    if (ask.poisonId !== null) noteSend(ask.poisonId);
     const lose = (): void => {
       cancel();
       clock.after(PROBE_MS, () => {
         const about = {caller: 'c', service: SERVICE, route: 'r'};
-        own.strike({...about, contents: ask.contents}, id, isTrial);
+        own.addStrike({...about, contents: ask.contents}, id, isTrial);
         done('lost', clock.now() - began);
       });
     };
     server.running.add(lose);
     const workMs = WORK_MS * (0.5 + random());
-    const cancel = clock.after(ask.bad === null ? workMs : FATAL_MS, () => {
-      if (ask.bad !== null) {
-        noteEnd(ask.bad);
-        return end(server);
-      }
-      server.running.delete(lose);
-      own.clearAnswered(ask.contents);
-      done('answered', clock.now() - began);
-    });
+    const cancel = clock.after(
+      ask.poisonId === null ? workMs : TIME_TO_CRASH_MS,
+      () => {
+        if (ask.poisonId !== null) {
+          noteEnd(ask.poisonId);
+          return end(server);
+        }
+        server.running.delete(lose);
+        own.clearAnswered(ask.contents);
+        done('answered', clock.now() - began);
+      },
+    );
   };
 
-  const call = (ask: Ask): void => {
-    if (ask.bad === null) outcome.good++;
+  const call = (ask: SimulatedRequest): void => {
+    if (ask.poisonId === null) outcome.normal++;
     attemptCall(ask, 1);
   };
 
-  const again = (ask: Ask, calls: number): void => {
+  const again = (ask: SimulatedRequest, calls: number): void => {
     if (calls >= CALLS) return;
     const router = Math.floor(random() * load.routers);
-    clock.after(AGAIN_MS * (0.5 + random()), () =>
+    clock.after(RETRY_MS * (0.5 + random()), () =>
       attemptCall({...ask, router}, calls + 1),
     );
   };
 
-  const attemptCall = (ask: Ask, calls: number): void => {
+  const attemptCall = (ask: SimulatedRequest, calls: number): void => {
     const own: Suspects = tables[ask.router]!;
     const excluded: string[] = [];
     const tryOnce = (attempts: number): void => {
       const standing = own.standingOf(ask.contents);
       if (standing === 'quarantined') {
-        if (ask.bad === null) outcome.goodRefused++;
+        if (ask.poisonId === null) outcome.normalRefused++;
         return;
       }
       const at = issuer;
@@ -276,8 +282,8 @@
         return run(ask, free.info.id, false, how => finish(how, attempts));
       }
       const isTrial = standing === 'suspected';
-      let giveBack: (how: PlaceEnd, tookMs: number) => void = quiet;
-      const take = (reply: PlaceReply): void => {
+      let giveBack: (how: SlotOutcome, tookMs: number) => void = quiet;
+      const take = (reply: SlotReply): void => {
         if (reply.kind !== 'granted') return again(ask, calls);
         const {server} = reply;
         if (own.standingOf(ask.contents) !== standing) {
@@ -290,20 +296,20 @@
           finish(how, attempts);
         });
       };
-      clock.after(WAY_MS, () => {
-        giveBack = at.ask(
+      clock.after(LINK_DELAY_MS, () => {
+        giveBack = at.allocate(
           {
             ...{id: 'r', service: SERVICE, key: null, priority: 0},
             ...{leftMs: 1_400, aimLeftMs: 500, askedMs: 0},
             ...{excluded: [...excluded], dataCentre: 'a'},
             ...(isTrial && {trial: ask.contents.anyQuery}),
           },
-          reply => clock.after(WAY_MS, () => take(reply)),
+          reply => clock.after(LINK_DELAY_MS, () => take(reply)),
         );
       });
     };
-    const finish = (how: PlaceEnd, attempts: number): void => {
-      if (how === 'answered') outcome.goodServed++;
+    const finish = (how: SlotOutcome, attempts: number): void => {
+      if (how === 'answered') outcome.normalServed++;
       else if (how === 'unreached') tryOnce(attempts);
       else if (attempts < MAX_ATTEMPTS) tryOnce(attempts + 1);
       else again(ask, calls);
--- a/packages/dispatch/test/suspects.test.ts
+++ b/packages/dispatch/test/suspects.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import fc from 'fast-check';
-import type {Contents} from '@banyandrum/dispatch/content.js';
-import type {Struck} from '@banyandrum/dispatch/suspect.js';
+import type {ContentDigests} from '@banyandrum/dispatch/content-digests.js';
+import type {StruckRequest} from '@banyandrum/dispatch/suspect.js';
 import {createSuspects, type Suspects} from '@banyandrum/dispatch/suspects.js';
 import {
   createManualClock,
@@ -11,7 +11,11 @@
 const SEED = 20_261_203;
 
 /** A request known by its digests; callers of `bad` have one each. */
-function contents(path: string, caller = '10.0.0.9', query = ''): Contents {
+function contents(
+  path: string,
+  caller = '10.0.0.9',
+  query = '',
+): ContentDigests {
   return {
     exact: `${path} ${query} ${caller}`,
     anyCaller: `${path} ${query} any`,
@@ -19,40 +23,40 @@
   };
 }
 
-function struck(path: string, caller?: string, query?: string): Struck {
+function struck(path: string, caller?: string, query?: string): StruckRequest {
   return {
     ...{contents: contents(path, caller, query), caller: caller ?? '10.0.0.9'},
     ...{service: 'desks', route: 'checks'},
   };
 }
 
-interface Scene {
+interface Fixture {
   readonly clock: ManualClock;
   readonly suspects: Suspects;
   readonly events: string[];
   /** Servers end under the content, one after the other; the last in a trial. */
-  end(content: string, ...servers: readonly string[]): void;
+  crashServers(content: string, ...servers: readonly string[]): void;
 }
 
-function scene(): Scene {
+function setUp(): Fixture {
   const clock = createManualClock(1_000);
   const events: string[] = [];
   const emit = (event: string): void => void events.push(event);
   const suspects = createSuspects(clock, emit, () => 1_796_000_000_000);
   return {
     ...{clock, suspects, events},
-    end(content, ...servers) {
+    crashServers(content, ...servers) {
       servers.forEach((server, at) => {
         const isTrial = at === servers.length - 1;
-        suspects.strike(struck(content), server, isTrial);
+        suspects.addStrike(struck(content), server, isTrial);
       });
-      suspects.judge();
+      suspects.applyQuarantineRules();
     },
   };
 }
 
 void tap.test('quarantined at the third server, in a trial', async t => {
-  const {suspects, end, events} = scene();
+  const {suspects, crashServers: end, events} = setUp();
   t.equal(suspects.standingOf(contents('bad')), 'unknown');
   end('bad', 's1', 's2');
   t.equal(suspects.standingOf(contents('bad')), 'suspected');
@@ -66,7 +70,7 @@
 });
 
 void tap.test('one server strikes once, however often it is told', async t => {
-  const {suspects, end} = scene();
+  const {suspects, crashServers: end} = setUp();
   for (let time = 0; time < 5; time++) end('bad', 's1');
   t.equal(suspects.standingOf(contents('bad')), 'suspected');
 });
@@ -74,11 +78,11 @@
 // A seventh of all servers ends at once, and a read that many ask for was at
 // all of them. It must not be refused for good: it was tried nowhere since.
 void tap.test('servers that end together condemn nothing', async t => {
-  const {suspects} = scene();
+  const {suspects} = setUp();
   for (let at = 0; at < 57; at++) {
-    suspects.strike(struck('busy'), `s${at}`, false);
+    suspects.addStrike(struck('busy'), `s${at}`, false);
   }
-  suspects.judge();
+  suspects.applyQuarantineRules();
   t.equal(suspects.standingOf(contents('busy')), 'suspected');
   suspects.clearAnswered(contents('busy'));
   t.equal(suspects.standingOf(contents('busy')), 'unknown');
@@ -86,10 +90,10 @@
 });
 
 void tap.test('what was beside the bad one is cleared with it', async t => {
-  const {suspects, end} = scene();
-  suspects.strike(struck('beside'), 's1', false);
-  suspects.strike(struck('beside'), 's2', true);
-  suspects.strike(struck('other'), 's9', false);
+  const {suspects, crashServers: end} = setUp();
+  suspects.addStrike(struck('beside'), 's1', false);
+  suspects.addStrike(struck('beside'), 's2', true);
+  suspects.addStrike(struck('other'), 's9', false);
   end('bad', 's1', 's2', 's3');
   t.equal(
     suspects.standingOf(contents('beside')),
@@ -107,7 +111,7 @@
 
 // A router that was cut off with refusals took servers for ended that live.
 void tap.test('a server that answers did not end', async t => {
-  const {suspects, end, clock} = scene();
+  const {suspects, crashServers: end, clock} = setUp();
   end('bad', 's1', 's2');
   await clock.advance(10);
   suspects.noteAlive('s1', 1_000);
@@ -118,20 +122,20 @@
     'sent before the end',
   );
 
-  const other = scene();
-  other.end('read', 's1', 's2');
+  const other = setUp();
+  other.crashServers('read', 's1', 's2');
   await other.clock.advance(10);
   other.suspects.noteAlive('s1', 1_005);
   other.suspects.noteAlive('s2', 1_005);
   t.equal(other.suspects.standingOf(contents('read')), 'unknown');
-  other.end('read', 's3');
+  other.crashServers('read', 's3');
   t.equal(other.suspects.standingOf(contents('read')), 'suspected');
 });
 
 void tap.test(
   'an operator clears it, which goes before older news',
   async t => {
-    const {suspects, end} = scene();
+    const {suspects, crashServers: end} = setUp();
     end('bad', 's1', 's2', 's3');
     const before = suspects.rows();
     t.notOk(suspects.clear('other any', 'ayesha', 'mended'), 'not quarantined');
@@ -155,10 +159,10 @@
 // A caller whose requests are lost in numbers must not make routers forget
 // what ends servers for another.
 void tap.test('a caller pushes out its own rows only', async t => {
-  const {suspects, end} = scene();
+  const {suspects, crashServers: end} = setUp();
   end('bad', 's1', 's2');
   for (let at = 0; at < 1_500; at++) {
-    suspects.strike(struck(`c${at}`, '10.0.0.66'), `t${at}`, false);
+    suspects.addStrike(struck(`c${at}`, '10.0.0.66'), `t${at}`, false);
   }
   t.ok(suspects.rows().length <= 1_000, `${suspects.rows().length} rows`);
   t.equal(suspects.standingOf(contents('bad')), 'suspected');
@@ -167,7 +171,7 @@
 });
 
 void tap.test('what is only suspected is forgotten in time', async t => {
-  const {suspects, end, clock} = scene();
+  const {suspects, crashServers: end, clock} = setUp();
   end('beside', 's1');
   end('bad', 's1', 's2', 's3');
   await clock.advance(700_000);
@@ -196,19 +200,19 @@
   fc.tuple(fc.constant('answer' as const), fc.constantFrom('a', 'b', 'c')),
 );
 
-function play(steps: readonly Step[]): Suspects {
-  const {suspects} = scene();
+function applySteps(steps: readonly Step[]): Suspects {
+  const {suspects} = setUp();
   for (const step of steps) {
     if (step[0] === 'answer') suspects.clearAnswered(contents(step[1]));
     else {
       const [, content, server, isTrial] = step;
-      suspects.strike(struck(content), server, isTrial);
+      suspects.addStrike(struck(content), server, isTrial);
     }
   }
   return suspects;
 }
 
-function standings(suspects: Suspects): readonly unknown[] {
+function statesOf(suspects: Suspects): readonly unknown[] {
   return ['a', 'b', 'c'].map(content => {
     const row = suspects.get(contents(content).exact);
     const servers = row?.strikes.map(({server}) => server).sort();
@@ -225,13 +229,13 @@
   });
   fc.assert(
     fc.property(seen, routers => {
-      const told = routers.map(steps => play(steps).rows());
-      const [one, other] = [scene().suspects, scene().suspects];
+      const told = routers.map(steps => applySteps(steps).rows());
+      const [one, other] = [setUp().suspects, setUp().suspects];
       for (const rows of told) one.merge(rows);
       for (const rows of [...told, ...told].reverse()) other.merge(rows);
-      one.judge();
-      other.judge();
-      t.same(standings(one), standings(other));
+      one.applyQuarantineRules();
+      other.applyQuarantineRules();
+      t.same(statesOf(one), statesOf(other));
     }),
     {seed: SEED, numRuns: 300},
   );
@@ -240,11 +244,11 @@
 // One request came from callers of all data centres, each with an address of
 // its own. Told apart by these, each ended servers anew: 25 and 27 in all.
 void tap.test('one request of many callers is one', async t => {
-  const {suspects} = scene();
+  const {suspects} = setUp();
   for (const [at, caller] of ['10.0.0.1', '10.0.0.2', '10.0.0.3'].entries()) {
     t.not(suspects.standingOf(contents('bad', caller)), 'quarantined');
-    suspects.strike(struck('bad', caller), `s${at}`, at > 0);
-    suspects.judge();
+    suspects.addStrike(struck('bad', caller), `s${at}`, at > 0);
+    suspects.applyQuarantineRules();
   }
   t.equal(suspects.standingOf(contents('bad', '10.0.0.4')), 'quarantined');
   t.not(
@@ -254,10 +258,10 @@
 });
 
 void tap.test('one request with changing queries is one', async t => {
-  const {suspects} = scene();
+  const {suspects} = setUp();
   for (const [at, query] of ['?p=1', '?p=2', '?p=3'].entries()) {
-    suspects.strike(struck('bad', undefined, query), `s${at}`, at > 0);
-    suspects.judge();
+    suspects.addStrike(struck('bad', undefined, query), `s${at}`, at > 0);
+    suspects.applyQuarantineRules();
   }
   const next = contents('bad', undefined, '?p=4');
   t.equal(suspects.standingOf(next), 'quarantined');
@@ -268,7 +272,7 @@
 // What one caller's request does to servers is no reason to refuse the same
 // path to others, unless it does so there as well.
 void tap.test('the same path from others is tried, and goes on', async t => {
-  const {suspects, end} = scene();
+  const {suspects, crashServers: end} = setUp();
   end('bad', 's1', 's2', 's3');
   const other = contents('bad', '10.0.0.7');
   t.equal(suspects.standingOf(contents('bad')), 'quarantined');
@@ -282,13 +286,13 @@
 // full, the trial after that left no trace, and it was tried for good: 123
 // servers ended.
 void tap.test('a trial counts after many ends', async t => {
-  const {suspects} = scene();
+  const {suspects} = setUp();
   for (let at = 0; at < 40; at++) {
-    suspects.strike(struck('bad', `10.0.0.${at}`), `s${at}`, false);
+    suspects.addStrike(struck('bad', `10.0.0.${at}`), `s${at}`, false);
   }
-  suspects.judge();
+  suspects.applyQuarantineRules();
   t.equal(suspects.standingOf(contents('bad')), 'suspected');
-  suspects.strike(struck('bad'), 's99', true);
-  suspects.judge();
+  suspects.addStrike(struck('bad'), 's99', true);
+  suspects.applyQuarantineRules();
   t.equal(suspects.standingOf(contents('bad')), 'quarantined');
 });
--- a/packages/gateway/src/entry.ts
+++ b/packages/gateway/src/entry.ts
@@ -9,13 +9,13 @@
 import {failure} from '@banyandrum/base/failure.js';
 import {createId} from '@banyandrum/base/ids.js';
 import {
-  contentsOf,
-  type Asked,
-  type Contents,
-} from '@banyandrum/dispatch/content.js';
+  digestContent,
+  type DigestInput,
+  type ContentDigests,
+} from '@banyandrum/dispatch/content-digests.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import {forward} from '@banyandrum/dispatch/forward.js';
-import type {ForwardConfig} from '@banyandrum/dispatch/journey.js';
+import type {ForwardConfig} from '@banyandrum/dispatch/forward-state.js';
 import type {Route, RoutingConfig} from '@banyandrum/routing/config.js';
 import {matchRoute} from '@banyandrum/routing/match-route.js';
 import type {Splitter} from '@banyandrum/routing/split.js';
@@ -259,18 +259,18 @@
   }
   const limitMs = callerDeadlineMs(names, req);
   arrival.askedMs = state.ages.take(route.name, limitMs);
-  const asked: Asked = {
+  const asked: DigestInput = {
     caller: req.socket.remoteAddress ?? '',
     method: req.method ?? 'GET',
     host: req.headers.host ?? '',
     path: req.url ?? '/',
     ...{key, body: body.bytes},
   };
-  let contents: Contents | null = null;
+  let contents: ContentDigests | null = null;
   return forward(state.forward, {
     id,
     ...asked,
-    contents: () => (contents ??= contentsOf(asked)),
+    contents: () => (contents ??= digestContent(asked)),
     headers: forwardHeaders(own, req, id, names.requestId),
     route,
     service,
--- a/packages/gateway/src/led-servers.ts
+++ b/packages/gateway/src/led-servers.ts
@@ -27,8 +27,8 @@
   const known = listed.map(({info}) => times.of(info.id, 0));
   const typical = meanMs(known, DEFAULT_SERVICE_MS);
   return listed
-    .filter(({info, isGone}) => !info.isLeaving && !isGone)
-    .map(({info, suspectUntil}) => ({
+    .filter(({info, isReplaced: isGone}) => !info.isLeaving && !isGone)
+    .map(({info, ejectedUntil: suspectUntil}) => ({
       id: info.id,
       address: info.address,
       slots: info.slots,
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -1,6 +1,6 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {Place, Places} from '@banyandrum/dispatch/places.js';
+import type {SlotResult, SlotProvider} from '@banyandrum/dispatch/slots.js';
 import type {LimitRow} from '@banyandrum/dispatch/server-limits.js';
 import type {Suspect} from '@banyandrum/dispatch/suspect.js';
 import {credentials, makeGenericClientConstructor} from '@grpc/grpc-js';
@@ -43,7 +43,7 @@
 }
 
 /** A router's end of its stream to the leader. */
-export interface LinkClient extends Places {
+export interface LinkClient extends SlotProvider {
   /** Time since the leader was last heard, in ms. */
   ageMs(): number;
   /** Whom this router hears as the leader, `ip:port`; null: nobody. */
@@ -271,7 +271,7 @@
       const own = heard();
       if (own === null) return Promise.resolve({kind: 'unavailable'});
       const number = ++asks;
-      return new Promise<Place>(resolve => {
+      return new Promise<SlotResult>(resolve => {
         const take = (how: 'cancelled'): void => {
           if (!own.pending.delete(number)) return;
           sendEnd(own, number, how, 0);
--- a/packages/gateway/src/link-codec.ts
+++ b/packages/gateway/src/link-codec.ts
@@ -1,4 +1,4 @@
-import type {PlaceEnd, PlaceReply} from '@banyandrum/dispatch/places.js';
+import type {SlotOutcome, SlotReply} from '@banyandrum/dispatch/slots.js';
 import type {
   EncodedMessage,
   FollowerMessage,
@@ -18,9 +18,9 @@
   ...['a', number, string, string, number | null, number],
   ...[number, number, number, string, ...string[]],
 ];
-type EndRow = ['e', number, PlaceEnd, number];
+type EndRow = ['e', number, SlotOutcome, number];
 /** A server that was granted, or another reply. */
-type ReplyRow = ['r', number, string | Exclude<PlaceReply, {kind: 'granted'}>];
+type ReplyRow = ['r', number, string | Exclude<SlotReply, {kind: 'granted'}>];
 
 /** The bytes of a message. */
 export function encode(message: object): Buffer {
--- a/packages/gateway/src/link-messages.ts
+++ b/packages/gateway/src/link-messages.ts
@@ -1,8 +1,8 @@
 import type {
-  PlaceAsk,
-  PlaceEnd,
-  PlaceReply,
-} from '@banyandrum/dispatch/places.js';
+  SlotRequest,
+  SlotOutcome,
+  SlotReply,
+} from '@banyandrum/dispatch/slots.js';
 import type {LimitRow} from '@banyandrum/dispatch/server-limits.js';
 import type {Suspect} from '@banyandrum/dispatch/suspect.js';
 import type {ServiceDefinition} from '@grpc/grpc-js';
@@ -20,7 +20,7 @@
 import type {Candidate} from './room.js';
 
 /** An ask as it travels: its router said once where it stands. */
-export type LinkAsk = Omit<PlaceAsk, 'dataCentre'>;
+export type LinkAsk = Omit<SlotRequest, 'dataCentre'>;
 
 /** What a router sends to the leader. */
 export type FollowerMessage =
@@ -36,7 +36,7 @@
   | {
       readonly kind: 'end';
       readonly ask: number;
-      readonly how: PlaceEnd;
+      readonly how: SlotOutcome;
       readonly tookMs: number;
     }
   /** The last of one that leads now; its term. */
@@ -57,7 +57,7 @@
 
 /** What the leader sends. */
 export type LeaderMessage =
-  | {readonly kind: 'reply'; readonly ask: number; readonly reply: PlaceReply}
+  | {readonly kind: 'reply'; readonly ask: number; readonly reply: SlotReply}
   /** Whenever something changed, and as a heartbeat. */
   | {
       readonly kind: 'state';
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -1,6 +1,6 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {PlaceIssuer} from '@banyandrum/dispatch/place-issuer.js';
-import type {PlaceEnd} from '@banyandrum/dispatch/places.js';
+import type {SlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
+import type {SlotOutcome} from '@banyandrum/dispatch/slots.js';
 import type {ServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import type {Suspects} from '@banyandrum/dispatch/suspects.js';
 import {
@@ -32,7 +32,7 @@
   /** `ip:port`. */
   readonly listen: string;
   readonly emit: Emit;
-  readonly issuer: PlaceIssuer;
+  readonly issuer: SlotAllocator;
   readonly suspects: Suspects;
   readonly limits: ServerLimits;
   /** Whom this router follows, `ip:port`; null: nobody. */
@@ -65,7 +65,7 @@
   FollowerMessage,
   LeaderMessage | EncodedMessage
 >;
-type TakeBack = (how: PlaceEnd, tookMs: number) => void;
+type TakeBack = (how: SlotOutcome, tookMs: number) => void;
 
 interface Follower extends Listener {
   readonly stream: Stream;
@@ -237,7 +237,7 @@
     if (place.key !== null) cfg.noteRequest(place.service, place.key);
     let isRefused = false;
     const dataCentre = candidate?.dataCentre ?? '';
-    const takeBack = cfg.issuer.ask({...place, dataCentre}, reply => {
+    const takeBack = cfg.issuer.allocate({...place, dataCentre}, reply => {
       isRefused = reply.kind !== 'granted';
       if (isRefused) asks.delete(ask);
       stream.write({kind: 'reply', ask, reply});
--- a/packages/gateway/src/link-session.ts
+++ b/packages/gateway/src/link-session.ts
@@ -1,8 +1,8 @@
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
 import type {ServerLimits} from '@banyandrum/dispatch/server-limits.js';
-import {joined, type Suspect} from '@banyandrum/dispatch/suspect.js';
+import {mergeSuspects, type Suspect} from '@banyandrum/dispatch/suspect.js';
 import type {Suspects} from '@banyandrum/dispatch/suspects.js';
-import type {Place, PlaceReply} from '@banyandrum/dispatch/places.js';
+import type {SlotResult, SlotReply} from '@banyandrum/dispatch/slots.js';
 import type {ClientDuplexStream} from '@grpc/grpc-js';
 import type {RoutingConfig} from '@banyandrum/routing/config.js';
 import type {KeyOwners, ServedTables} from './key-owners.js';
@@ -45,7 +45,7 @@
 export interface Session {
   readonly stream: LinkStream;
   readonly leader: string;
-  readonly pending: Map<number, (reply: PlaceReply) => void>;
+  readonly pending: Map<number, (reply: SlotReply) => void>;
   /** As this leader told them, by changes from one state to the next. */
   tables: ServedTables;
   servers: readonly ServerInfo[];
@@ -93,13 +93,13 @@
 export function toPlace(
   session: Session,
   number: number,
-  reply: PlaceReply,
-): Place {
+  reply: SlotReply,
+): SlotResult {
   if (reply.kind !== 'granted') return reply;
   return {
     kind: 'granted',
     server: reply.server,
-    end: (how, tookMs) => sendEnd(session, number, how, tookMs),
+    release: (how, tookMs) => sendEnd(session, number, how, tookMs),
   };
 }
 
@@ -110,7 +110,7 @@
 ): readonly Suspect[] {
   return rows.filter(row => {
     const heard = suspects.get(row.content);
-    return heard === undefined || joined(heard, row) !== heard;
+    return heard === undefined || mergeSuspects(heard, row) !== heard;
   });
 }
 
--- a/packages/gateway/src/link-telling.ts
+++ b/packages/gateway/src/link-telling.ts
@@ -3,7 +3,7 @@
   LimitRow,
   ServerLimits,
 } from '@banyandrum/dispatch/server-limits.js';
-import {isWorthTelling, type Suspect} from '@banyandrum/dispatch/suspect.js';
+import {shouldBroadcast, type Suspect} from '@banyandrum/dispatch/suspect.js';
 import type {Suspects} from '@banyandrum/dispatch/suspects.js';
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {ServedTables} from './key-owners.js';
@@ -209,7 +209,7 @@
     const told = new Set(shared.suspects.map(({content}) => content));
     // What was told once is told of its clearing, too.
     const suspects = rows.filter(
-      row => isWorthTelling(row) || told.has(row.content),
+      row => shouldBroadcast(row) || told.has(row.content),
     );
     if (!isSameRows(suspects, shared.suspects)) shared = {...shared, suspects};
   };
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -1,5 +1,5 @@
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
-import type {AttemptOutcome} from '@banyandrum/dispatch/attempt-outcome.js';
+import type {CompletedAttempt} from '@banyandrum/dispatch/completed-attempt.js';
 import type {Suspect} from '@banyandrum/dispatch/suspect.js';
 import type {WireNames} from '@banyandrum/dispatch/wire.js';
 import type {Ledger, SaveEnd} from '@banyandrum/ranges/ledger.js';
@@ -101,7 +101,7 @@
   readonly suspects: SuspectRecords;
   readonly orders: Orders;
   /** Calls `listener` with the outcome of each order that was sent. */
-  subscribeOrderOutcomes(listener: (outcome: AttemptOutcome) => void): void;
+  subscribeOrderOutcomes(listener: (outcome: CompletedAttempt) => void): void;
   /** Calls to the platform since the start, by what they were for. */
   callCounts(): Readonly<Record<string, number>>;
   close(): void;
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -1,13 +1,13 @@
 import {createServer} from 'node:http';
 import {createClock, type Clock} from '@banyandrum/base/clock.js';
 import {createId} from '@banyandrum/base/ids.js';
-import {reportsLeaving} from '@banyandrum/dispatch/attempt-outcome.js';
+import {reportsLeaving} from '@banyandrum/dispatch/completed-attempt.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
-import {createPlaceIssuer} from '@banyandrum/dispatch/place-issuer.js';
+import {createSlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
 import {probeServer} from '@banyandrum/dispatch/probe-server.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
 import {createRetryBudget} from '@banyandrum/dispatch/retry-budget.js';
-import {createServerEnds} from '@banyandrum/dispatch/server-ends.js';
+import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
 import {
   createServerLimits,
   noteLimit,
@@ -98,9 +98,9 @@
   const suspects = createSuspects(clock, emit);
   const limits = createServerLimits({clock, emit});
   const rests = createServerRests({clock, emit});
-  const ends = createServerEnds({clock, probe: probeServer});
+  const ends = createCrashDetector({clock, probe: probeServer});
   list.subscribe(() => {
-    ends.watched().filter(list.isReplaced).forEach(ends.noteReplaced);
+    ends.watchedServers().filter(list.isReplaced).forEach(ends.noteReplaced);
   });
 
   const keyedServices = (): readonly string[] =>
@@ -190,7 +190,7 @@
     offer: link.offer,
     begin: takeOffer,
   });
-  const issuer = createPlaceIssuer({
+  const issuer = createSlotAllocator({
     backends,
     clock,
     emit,
@@ -231,7 +231,7 @@
   const source: MetricsSource = {
     routers: countRouters,
     isLeading: () => leadership.isLeading(),
-    waiting: () => issuer.waiting(),
+    waiting: () => issuer.waitingCount(),
     listAgeMs: () => list.ageMs(),
     leaderAgeMs: () => link.ageMs(),
     configVersion: () => keeper.current()?.version ?? 0,
@@ -263,7 +263,7 @@
           link.noteReplaced(server);
         },
       },
-      places: createLocalPlaces({leadership, issuer, owners, link}),
+      slotProvider: createLocalPlaces({leadership, issuer, owners, link}),
       dataCentre: settings.host.dataCentre,
       budget: createRetryBudget(settings.retries, countRouters),
       quarantine: createQuarantine(suspects, ends),
@@ -273,7 +273,7 @@
       names: platform.names,
       clock,
       emit,
-      routers: countRouters,
+      routerCount: countRouters,
     },
   });
   const isReady = (): boolean =>
@@ -289,9 +289,9 @@
     const tables = leadership.tables();
     if (tables === null) return issuer.close();
     owners.takeTables(tables);
-    issuer.review();
+    issuer.reevaluate();
   });
-  list.subscribe(() => issuer.review());
+  list.subscribe(() => issuer.reevaluate());
 
   const {callers, readiness: readyAt, peers} = settings.listen;
   const links = await serveLinks({
@@ -328,7 +328,7 @@
     inFlight: () => entry.inFlight(),
     isLeading: () => leadership.isLeading(),
     followers: () => links.followers(),
-    waiting: () => issuer.waiting(),
+    waiting: () => issuer.waitingCount(),
     callCounts: () => platform.callCounts(),
   });
   emit('started', {
--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -1,6 +1,9 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
-import {bornOfRun, nameOfRun} from '@banyandrum/dispatch/server-run.js';
+import {
+  instanceStartedAt,
+  serverName,
+} from '@banyandrum/dispatch/server-instance.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {ListChange, ListRead} from './platform.js';
 
@@ -125,14 +128,14 @@
     const server = leavingRuns.has(entry.id)
       ? {...entry, isLeaving: true}
       : entry;
-    const last = runs.get(nameOfRun(server.id));
+    const last = runs.get(serverName(server.id));
     if (last !== undefined && last !== server.id) {
       // What an earlier run said may come later, from another router.
       if (isEarlier(server.id, last)) return false;
       emit('server-reborn', {server: server.id, before: last});
       remove(last);
     }
-    runs.set(nameOfRun(server.id), server.id);
+    runs.set(serverName(server.id), server.id);
     if (removals.delete(server.id)) version++;
     const known = servers.get(server.id);
     servers.set(server.id, server);
@@ -150,7 +153,7 @@
   const remove = (id: string): boolean => {
     if (!servers.delete(id)) return false;
     removals.delete(id);
-    if (runs.get(nameOfRun(id)) === id) runs.delete(nameOfRun(id));
+    if (runs.get(serverName(id)) === id) runs.delete(serverName(id));
     emit('server-removed', {server: id, cursor});
     return true;
   };
@@ -175,7 +178,7 @@
   const apply = (change: ListChange): boolean => {
     if (change.kind === 'listed') return put(change.server);
     if (change.kind === 'removed') {
-      return expire(runs.get(nameOfRun(change.id)) ?? change.id);
+      return expire(runs.get(serverName(change.id)) ?? change.id);
     }
     return tellUnreadable(change.id, change.detail);
   };
@@ -186,10 +189,10 @@
   ): boolean => {
     const listed = new Set<string>();
     for (const change of changes) {
-      if (change.kind === 'listed') listed.add(nameOfRun(change.server.id));
-      if (change.kind === 'unreadable') listed.add(nameOfRun(change.id));
+      if (change.kind === 'listed') listed.add(serverName(change.server.id));
+      if (change.kind === 'unreadable') listed.add(serverName(change.id));
     }
-    const gone = [...servers.keys()].filter(id => !listed.has(nameOfRun(id)));
+    const gone = [...servers.keys()].filter(id => !listed.has(serverName(id)));
     if (isRestored) gone.forEach(id => unregistered.add(id));
     const expired = gone.filter(id => !unregistered.has(id));
     const results = [...changes.map(apply), ...expired.map(expire)];
@@ -271,7 +274,7 @@
         if (server.address !== old.address) continue;
         // It obeys what the run before it was ordered: its keys are taken back
         // like those of any server that goes.
-        if (nameOfRun(server.id) === nameOfRun(id)) continue;
+        if (serverName(server.id) === serverName(id)) continue;
         // Entries of servers that ended long ago may linger in the list.
         if (seen.get(server.id)!.order > old.order) return true;
       }
@@ -283,7 +286,7 @@
 
 /** Whether the run began before the other one of its name. */
 function isEarlier(id: string, other: string): boolean {
-  return (bornOfRun(id) ?? 0) < (bornOfRun(other) ?? 0);
+  return (instanceStartedAt(id) ?? 0) < (instanceStartedAt(other) ?? 0);
 }
 
 function toListed(server: ServerInfo): ListChange {
--- a/packages/gateway/src/service-times.ts
+++ b/packages/gateway/src/service-times.ts
@@ -43,10 +43,10 @@
   const times: ServerTimes[] = [];
   for (const service of services) {
     for (const backend of backends.ofService(service)) {
-      const {count, totalMs} = backend.measured;
+      const {count, totalMs} = backend.unreportedServiceTimes;
       if (count === 0) continue;
       times.push([backend.info.id, count, Math.round(totalMs)]);
-      backend.measured = {count: 0, totalMs: 0};
+      backend.unreportedServiceTimes = {count: 0, totalMs: 0};
     }
   }
   return times;
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -94,7 +94,7 @@
   };
 
   const lead = async (epoch: number): Promise<void> => {
-    suspects.judge();
+    suspects.applyQuarantineRules();
     while (leadership.epoch() === epoch && !(await read())) {
       await sleep(clock, RETRY_MS);
     }
@@ -107,7 +107,7 @@
       if (isOwn) link.tellSuspects(rows);
       return;
     }
-    suspects.judge();
+    suspects.applyQuarantineRules();
     // Before it was read, a clearing would not be known as one of a record.
     if (isRead) void write();
   });
--- a/packages/gateway/src/write-answer.ts
+++ b/packages/gateway/src/write-answer.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Failure} from '@banyandrum/base/failure.js';
 import {HOP_BY_HOP} from '@banyandrum/base/hop-by-hop.js';
-import type {Reply} from '@banyandrum/dispatch/journey.js';
+import type {Reply} from '@banyandrum/dispatch/forward-state.js';
 import {header} from './caller-headers.js';
 
 /** What is written to the caller. */
--- a/packages/gateway/test/link-bytes.test.ts
+++ b/packages/gateway/test/link-bytes.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import type {PlaceAsk} from '@banyandrum/dispatch/places.js';
+import type {SlotRequest} from '@banyandrum/dispatch/slots.js';
 import type {Leadership} from '@banyandrum/gateway/leadership.js';
 import {
   HEARTBEAT_MS,
@@ -20,7 +20,7 @@
 
 const {follow} = LINK_SERVICE;
 
-const PLACE: PlaceAsk = {
+const PLACE: SlotRequest = {
   ...{id: '9c41d07be2a35f68', service: 'wubo73a', key: 48_211, priority: 2},
   ...{leftMs: 1_874.382_917, aimLeftMs: 374.382_917, askedMs: 0, excluded: []},
   dataCentre: 'prince-george',
--- a/packages/gateway/test/link.test.ts
+++ b/packages/gateway/test/link.test.ts
@@ -10,8 +10,8 @@
 import {createClock} from '@banyandrum/base/clock.js';
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
-import {createPlaceIssuer} from '@banyandrum/dispatch/place-issuer.js';
-import type {Place, PlaceAsk} from '@banyandrum/dispatch/places.js';
+import {createSlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
+import type {SlotResult, SlotRequest} from '@banyandrum/dispatch/slots.js';
 import {createServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
 import {createKeyOwners} from '@banyandrum/gateway/key-owners.js';
@@ -97,7 +97,7 @@
   subscribe: () => undefined,
 };
 
-const ASK: PlaceAsk = {
+const ASK: SlotRequest = {
   id: 'r1',
   service: 'holds',
   key: null,
@@ -109,7 +109,7 @@
   dataCentre: 'a',
 };
 
-function acquire(link: LinkClient): Promise<Place> {
+function acquire(link: LinkClient): Promise<SlotResult> {
   return link.acquire(ASK, createCanceller().signal);
 }
 
@@ -166,7 +166,7 @@
   backends.update([SERVER]);
   const suspects = createSuspects(clock, emit);
   const limits = createServerLimits({clock, emit});
-  const issuer = createPlaceIssuer({
+  const issuer = createSlotAllocator({
     ...{backends, clock, emit, suspects, limits},
     ownerOf: () => ({kind: 'none'}),
   });
@@ -213,7 +213,7 @@
   const {path, link, close} = await startScene();
   await until(async () => {
     const place = await acquire(link);
-    if (place.kind === 'granted') place.end('answered', 10);
+    if (place.kind === 'granted') place.release('answered', 10);
     return place.kind === 'granted';
   });
 
@@ -224,14 +224,14 @@
   t.ok(tookMs < 1_500, `told after ${tookMs} ms`);
   await until(async () => {
     const place = await acquire(link);
-    if (place.kind === 'granted') place.end('answered', 10);
+    if (place.kind === 'granted') place.release('answered', 10);
     return place.kind === 'granted';
   });
   // Both slots are there: none is lost with the silent connection.
   await until(async () => {
     const places = [await acquire(link), await acquire(link)];
     for (const place of places) {
-      if (place.kind === 'granted') place.end('answered', 10);
+      if (place.kind === 'granted') place.release('answered', 10);
     }
     return places.every(({kind}) => kind === 'granted');
   });
--- a/packages/gateway/test/quarantine-page.test.ts
+++ b/packages/gateway/test/quarantine-page.test.ts
@@ -44,8 +44,8 @@
   const suspects = createSuspects(createManualClock(), () => undefined);
   const struck = {contents: CONTENTS, caller: 'c', service: 's', route: 'r'};
   for (const server of ['s1', 's2', 's3'])
-    suspects.strike(struck, server, true);
-  suspects.judge();
+    suspects.addStrike(struck, server, true);
+  suspects.applyQuarantineRules();
   const page = createQuarantinePage(suspects, TOKENS);
   const server = createServer((req, res) => {
     if (!page(req, res)) res.writeHead(404).end();
--- a/packages/gateway/test/suspects-told.test.ts
+++ b/packages/gateway/test/suspects-told.test.ts
@@ -27,7 +27,7 @@
     anyQuery: `${path}-query`,
   };
   const about = {caller: '100.67.0.12', service: 'wubo73a', route: 'r-n8kj5rh'};
-  suspects.strike({contents, ...about}, server, server.endsWith('2'));
+  suspects.addStrike({contents, ...about}, server, server.endsWith('2'));
 }
 
 interface Scene {
