--- a/packages/dispatch/src/attempt.ts
+++ b/packages/dispatch/src/attempt.ts
@@ -115,7 +115,7 @@
       if (code < 200) return true;
       status = code;
       rawHeaders = raw.map(String);
-      fields = indexHeaders(rawHeaders);
+      fields = toFieldMap(rawHeaders);
       const id = fields.get(names.requestId);
       // A late or doubled answer of an earlier request: all that follows on
       // this connection belongs to nobody known.
@@ -179,7 +179,7 @@
   return status === 0 ? 'connection-lost' : 'truncated';
 }
 
-function indexHeaders(raw: readonly string[]): ReadonlyMap<string, string> {
+function toFieldMap(raw: readonly string[]): ReadonlyMap<string, string> {
   const fields = new Map<string, string>();
   for (let at = 0; at + 1 < raw.length; at += 2) {
     fields.set(raw[at]!.toLowerCase(), raw[at + 1]!);
--- a/packages/dispatch/src/backends.ts
+++ b/packages/dispatch/src/backends.ts
@@ -27,7 +27,7 @@
 export function createBackends(clock: Clock): Backends {
   const byId = new Map<string, Backend>();
   const byService = new Map<string, Backend[]>();
-  const waiting = new Map<string, Set<() => void>>();
+  const waitersByService = new Map<string, Set<() => void>>();
   /** When each run was first known to leave, in ms; kept after its removal. */
   const leavingSinceById = new Map<string, number>();
   let limitOf: (service: string) => number = () => DEFAULT_CONNECTIONS;
@@ -84,8 +84,8 @@
     },
     waitForCapacity(service, ms) {
       return new Promise(resolve => {
-        const group = waiting.get(service) ?? new Set();
-        waiting.set(service, group);
+        const group = waitersByService.get(service) ?? new Set();
+        waitersByService.set(service, group);
         const finish = (): void => {
           cancel();
           group.delete(finish);
@@ -96,7 +96,7 @@
       });
     },
     notifyCapacity(service) {
-      const [first] = waiting.get(service) ?? [];
+      const [first] = waitersByService.get(service) ?? [];
       first?.();
     },
   };
--- a/packages/dispatch/src/choose-server.ts
+++ b/packages/dispatch/src/choose-server.ts
@@ -25,12 +25,12 @@
   now: number,
 ): Backend | null {
   const usable = backends.filter(backend => isUsable(backend, excluded));
-  const expectedOthers = meanInFlight(usable) * Math.max(0, routerCount - 1);
+  const mean = meanOwnInFlight(usable) * Math.max(0, routerCount - 1);
   const typicalMs = typicalServiceMs(usable);
   let best: Backend | null = null;
   let bestMs = Infinity;
   for (const backend of preferHealthy(usable, now)) {
-    const load = estimateLoad(backend, expectedOthers, now);
+    const load = estimateLoad(backend, mean, now);
     if (!hasCapacity(backend, load)) continue;
     const expectedMs = expectedAnswerMs(backend, load, typicalMs, now);
     if (expectedMs >= bestMs) continue;
@@ -42,17 +42,13 @@
 
 /** Requests at the server now, of all routers, as far as is known. */
 export function estimateLoad(
-  backend: Backend,
-  expectedOthers: number,
+  server: Backend,
+  mean: number,
   now: number,
 ): number {
-  const age = now - backend.othersInFlightAt;
+  const age = now - server.othersInFlightAt;
   const weight = Math.exp(-age / OTHERS_LOAD_DECAY_MS);
-  return (
-    backend.inFlight +
-    backend.othersInFlight * weight +
-    expectedOthers * (1 - weight)
-  );
+  return server.inFlight + server.othersInFlight * weight + mean * (1 - weight);
 }
 
 /** Whether one more request finds a slot or a place to wait. */
@@ -79,7 +75,7 @@
   return costOf(backend, typicalMs, now) * rounds * jitter;
 }
 
-function meanInFlight(backends: readonly Backend[]): number {
+function meanOwnInFlight(backends: readonly Backend[]): number {
   if (backends.length === 0) return 0;
   let sum = 0;
   for (const {inFlight} of backends) sum += inFlight;
--- a/packages/dispatch/src/completed-attempt.ts
+++ b/packages/dispatch/src/completed-attempt.ts
@@ -17,9 +17,10 @@
  */
 export function answerFields(
   names: WireNames,
-  {server, result: end}: CompletedAttempt,
+  {server, result: result}: CompletedAttempt,
 ): Answer['fields'] | null {
-  const fields = end.kind === 'answered' ? end.answer.fields : end.fields;
+  const fields =
+    result.kind === 'answered' ? result.answer.fields : result.fields;
   return isOtherServer(server, fields.get(names.serverId)) ? null : fields;
 }
 
--- a/packages/dispatch/src/connections.ts
+++ b/packages/dispatch/src/connections.ts
@@ -24,7 +24,7 @@
   /** Gives a connection back; `isSound` lets it serve again. */
   release(connection: Connection, isSound: boolean): void;
   /** Closes unused connections without an answer since `since`. */
-  closeIdleUnusedSince(since: number): void;
+  closeIdleUnansweredSince(since: number): void;
   setLimit(limit: number): void;
   inUse(): number;
   /** Closes unused connections now and the others after use. */
@@ -73,7 +73,7 @@
       if (isSound && !isRetired) idle.push(connection);
       else closeConnection(connection);
     },
-    closeIdleUnusedSince(since) {
+    closeIdleUnansweredSince(since) {
       const kept = idle.filter(({lastAnswerAt}) => lastAnswerAt >= since);
       idle.filter(each => !kept.includes(each)).forEach(closeConnection);
       idle = kept;
--- a/packages/dispatch/src/crash-detector.ts
+++ b/packages/dispatch/src/crash-detector.ts
@@ -86,7 +86,7 @@
     else watches.set(server, left);
   };
 
-  const probe = (backend: Backend): Promise<ProbeResult> => {
+  const probeOnce = (backend: Backend): Promise<ProbeResult> => {
     const {id} = backend.info;
     const known = probes.get(id);
     if (known !== undefined) return known;
@@ -102,7 +102,7 @@
       if (isLeaving) return;
       if (crashedAt.has(id)) return onEnded();
       watch(id, REPLACEMENT_WATCH_MS, onEnded);
-      const probed = probe(backend).then(end => {
+      const probed = probeOnce(backend).then(end => {
         if (end === 'refused') noteCrash(id);
       });
       await Promise.race([probed, sleep(clock, MAX_PROOF_WAIT_MS)]);
--- a/packages/dispatch/src/handle-result.ts
+++ b/packages/dispatch/src/handle-result.ts
@@ -110,7 +110,7 @@
   journey.sentCount++;
   journey.possibleRuns++;
   if (end.reason === 'timeout')
-    backend.connections.closeIdleUnusedSince(sentAt);
+    backend.connections.closeIdleUnansweredSince(sentAt);
   else if (end.reason === 'connection-lost') eject(backend, now);
   const code = end.reason === 'timeout' ? 'deadline' : 'connection-lost';
   journey.unknownOutcome = failure('may-have-run', code, end.detail);
--- a/packages/dispatch/src/quarantine.ts
+++ b/packages/dispatch/src/quarantine.ts
@@ -50,26 +50,26 @@
     async noteAttempt({
       req,
       backend,
-      result: end,
+      result: result,
       isTrial,
-      slotOutcome: how,
+      slotOutcome: slotOutcome,
       sentAt,
     }) {
       const {id} = backend.info;
-      if (end.kind === 'answered') {
+      if (result.kind === 'answered') {
         // A refusal may be another run's, at the address of the one that ended;
         // a failure may come before the server began to run the request.
-        if (how !== 'answered') return;
+        if (slotOutcome !== 'answered') return;
         suspects.noteAlive(id, sentAt);
         if (!suspects.isEmpty()) suspects.clearAnswered(req.contents());
         return;
       }
-      if (!end.isWritten) return;
+      if (!result.isWritten) return;
       const strike = (): void =>
         suspects.addStrike(toStruckRequest(req), id, isTrial);
-      if (end.reason === 'cancelled')
+      if (result.reason === 'cancelled')
         return crashDetector.requestCancelled(backend, strike);
-      if (end.reason === 'connection-lost')
+      if (result.reason === 'connection-lost')
         await crashDetector.connectionLost(backend, strike);
     },
   };
--- a/packages/dispatch/src/retry-budget.ts
+++ b/packages/dispatch/src/retry-budget.ts
@@ -40,13 +40,13 @@
   const ownSlack = (): number =>
     (allowance.slack * SLACK_MARGIN) / Math.max(1, routerCount());
   // With many routers a share is less than one repeat: it must be saved up.
-  const capacity = (): number => Math.max(1, ownSlack());
+  const maxBalance = (): number => Math.max(1, ownSlack());
   const balance = (service: string): number =>
     tokens.get(service) ?? ownSlack();
   return {
     deposit(service) {
       const earned = balance(service) + allowance.ratio * RATIO_MARGIN;
-      tokens.set(service, Math.min(capacity(), earned));
+      tokens.set(service, Math.min(maxBalance(), earned));
     },
     tryWithdraw(service) {
       if (balance(service) < 1) return false;
--- a/packages/dispatch/src/slot-allocator.ts
+++ b/packages/dispatch/src/slot-allocator.ts
@@ -27,7 +27,7 @@
    * Answers through `reply`, at once or when a place is free. The result
    * takes back the ask, or gives back the place that was granted.
    */
-  allocate(
+  ask(
     ask: SlotRequest,
     reply: (reply: SlotReply) => void,
   ): (how: SlotOutcome, tookMs: number) => void;
@@ -71,7 +71,7 @@
   const trials = new Set<string>();
   let cancelReevaluation: (() => void) | null = null;
 
-  const endTrial = ({request: {trial}}: Waiter): void => {
+  const endTrial = ({req: {trial}}: Waiter): void => {
     if (trial !== undefined) trials.delete(trial);
   };
 
@@ -82,7 +82,7 @@
   };
 
   const refuse = (waiter: Waiter, why: string): void => {
-    const {request: ask, requestedAt: askedAt, expiresAt: endsAt} = waiter;
+    const {req: ask, requestedAt: askedAt, expiresAt: endsAt} = waiter;
     const now = cfg.clock.now();
     const lane = waiter.queue ?? queues.queueFor(ask);
     cfg.emit('place-refused', {
@@ -101,7 +101,7 @@
 
   /** Of a trial that isn't made; another one of its kind may be under way. */
   const refuseTrial = (waiter: Waiter, why: string): (() => void) => {
-    const {id, service, key, trial} = waiter.request;
+    const {id, service, key, trial} = waiter.req;
     cfg.emit('place-refused', {id, service, key, why, trial});
     waiter.reply({
       kind: 'refused',
@@ -116,12 +116,12 @@
     waiter.grantedAt = cfg.clock.now();
     backend.allocatedSlots++;
     cfg.limits.takeToken(backend.info.id);
-    if (waiter.request.trial !== undefined) backend.hasTrial = true;
+    if (waiter.req.trial !== undefined) backend.hasTrial = true;
     settle(waiter, {kind: 'granted', server: backend.info.id});
   };
 
   const tryGrant = (waiter: Waiter): boolean => {
-    const backend = findFreeServer(cfg, waiter.request);
+    const backend = findFreeServer(cfg, waiter.req);
     if (backend === null) return false;
     grant(waiter, backend);
     return true;
@@ -140,7 +140,7 @@
       if (tryGrant(waiter)) continue;
       // What doesn't help this one helps the others neither, but for those
       // that were at some of the servers already, and trials.
-      const {excluded, trial} = waiter.request;
+      const {excluded, trial} = waiter.req;
       const isSpecial = lane.owner === null && excluded.length > 0;
       if (!isSpecial && trial === undefined) return;
       passedOver.add(waiter);
@@ -183,7 +183,7 @@
   };
 
   return {
-    allocate(ask, reply) {
+    ask(ask, reply) {
       const now = cfg.clock.now();
       const {serviceMs} = capacities.of(ask.service);
       const {priority} = ask;
@@ -192,7 +192,7 @@
       const slackMs = ask.askedMs + ask.aimLeftMs - serviceMs;
       if (slackMs > 0) slackTracker.noteSlack(ask.service, priority, slackMs);
       const waiter: Waiter = {
-        request: ask,
+        req: ask,
         priority,
         reply,
         requestedAt: now,
@@ -253,16 +253,14 @@
   };
 }
 
-function keysOf(lane: WaitQueue): readonly number[] {
-  return waitersIn(lane).flatMap(({request: {key}}) =>
-    key === null ? [] : [key],
-  );
+function keysOf(from: WaitQueue): readonly number[] {
+  return waitersIn(from).flatMap(({req: {key}}) => (key === null ? [] : [key]));
 }
 
 function releaseSlot(
   {clock, suspects}: SlotAllocatorConfig,
   backend: Backend,
-  {grantedAt, request: ask}: Waiter,
+  {grantedAt, req: ask}: Waiter,
   how: SlotOutcome,
   tookMs: number,
 ): void {
--- a/packages/dispatch/src/suspects.ts
+++ b/packages/dispatch/src/suspects.ts
@@ -107,7 +107,7 @@
     for (const listener of listeners) listener(some, isOwn);
   };
 
-  const put = (row: Suspect): void => {
+  const store = (row: Suspect): void => {
     table.set(row.content, row);
     changedAt.delete(row.content);
     changedAt.set(row.content, clock.now());
@@ -116,7 +116,7 @@
     }
   };
 
-  const drop = (content: string): void => {
+  const remove = (content: string): void => {
     table.delete(content);
     changedAt.delete(content);
   };
@@ -125,14 +125,14 @@
   const evictOld = (): void => {
     const now = clock.now();
     for (const [content, at] of changedAt) {
-      if (now - at > ttlMs(table.get(content)!)) drop(content);
+      if (now - at > ttlMs(table.get(content)!)) remove(content);
     }
     for (const isQuarantined of [false, true]) {
       const most = isQuarantined ? MAX_QUARANTINED : MAX_UNQUARANTINED;
       const ofKind = (row: Suspect): boolean =>
         row.isQuarantined === isQuarantined;
       let left = [...table.values()].filter(ofKind).length;
-      for (; left > most; left--) drop(oldestOfLargestCaller(ofKind));
+      for (; left > most; left--) remove(oldestOfLargestCaller(ofKind));
     }
   };
 
@@ -157,7 +157,7 @@
     const next = some.map(row => ({...row, ...blank, round: row.round + 1}));
     const {by, reason} = cleared;
     for (const row of next) {
-      put(row);
+      store(row);
       const {content, scope, caller, service} = row;
       emit('request-cleared', {content, scope, caller, service, by, reason});
     }
@@ -170,7 +170,7 @@
     const last = table.get(row.content);
     const next = last === undefined ? row : mergeSuspects(last, row);
     if (next === last) return false;
-    put(next);
+    store(next);
     return true;
   };
 
@@ -235,7 +235,7 @@
       if (guilty.length === 0) return;
       const next = guilty.map(row => ({...row, isQuarantined: true}));
       for (const row of next) {
-        put(row);
+        store(row);
         const {content, scope, caller, service, route, strikes} = row;
         const servers = strikes.map(({server}) => server).join(' ');
         const about = {content, scope, caller, service, route};
--- a/packages/dispatch/src/wait-queue.ts
+++ b/packages/dispatch/src/wait-queue.ts
@@ -2,7 +2,7 @@
 
 /** A request that waits for a place, or has one. */
 export interface Waiter {
-  readonly request: SlotRequest;
+  readonly req: SlotRequest;
   readonly priority: number;
   readonly reply: (reply: SlotReply) => void;
   readonly requestedAt: number;
--- a/packages/dispatch/src/wait-queues.ts
+++ b/packages/dispatch/src/wait-queues.ts
@@ -60,7 +60,7 @@
       // Lanes of servers that left go as well.
       services.clear();
       waiting.sort((a, b) => a.requestedAt - b.requestedAt);
-      for (const waiter of waiting) enqueue(queueFor(waiter.request), waiter);
+      for (const waiter of waiting) enqueue(queueFor(waiter.req), waiter);
     },
     clear: () => services.clear(),
   };
--- a/packages/dispatch/test/simulate-limits.ts
+++ b/packages/dispatch/test/simulate-limits.ts
@@ -114,7 +114,7 @@
       if (free >= 0) run(own, (first + free) % infos.length, quiet);
       return;
     }
-    const end = issuer.allocate(
+    const end = issuer.ask(
       {
         ...{id: 'r', service: SERVICE, key: null, priority: 0},
         ...{leftMs: 1_400, aimLeftMs: 500, askedMs: 0},
--- a/packages/dispatch/test/simulate-load.ts
+++ b/packages/dispatch/test/simulate-load.ts
@@ -194,7 +194,7 @@
       });
     };
     const goneMs = load.treatsRetriesAsNew ? 0 : kind.limitMs - leftMs;
-    const end = world.issuer.allocate(
+    const end = world.issuer.ask(
       {
         ...{id: 'r', service: SERVICE, key, priority: kind.priority},
         ...{leftMs, aimLeftMs: kind.targetMs - goneMs, askedMs: goneMs},
--- a/packages/dispatch/test/simulate-poison.ts
+++ b/packages/dispatch/test/simulate-poison.ts
@@ -297,7 +297,7 @@
         });
       };
       clock.after(LINK_DELAY_MS, () => {
-        giveBack = at.allocate(
+        giveBack = at.ask(
           {
             ...{id: 'r', service: SERVICE, key: null, priority: 0},
             ...{leftMs: 1_400, aimLeftMs: 500, askedMs: 0},
--- a/packages/dispatch/test/slot-allocator-work.test.ts
+++ b/packages/dispatch/test/slot-allocator-work.test.ts
@@ -70,10 +70,10 @@
     limits: createServerLimits({clock, emit: () => undefined}),
     ownerOf: () => ({kind: 'none'}),
   });
-  const running: ReturnType<SlotAllocator['allocate']>[] = [];
+  const running: ReturnType<SlotAllocator['ask']>[] = [];
   let asked = 0;
   const ask = (): void => {
-    const end = issuer.allocate(createRequest(asked++, looks), () => {
+    const end = issuer.ask(createRequest(asked++, looks), () => {
       // Told within `ask` where a place is free at once.
       queueMicrotask(() => running.push(end));
     });
--- a/packages/dispatch/test/slot-allocator.test.ts
+++ b/packages/dispatch/test/slot-allocator.test.ts
@@ -73,7 +73,7 @@
     limits,
     request(part = {}) {
       const asked: RequestHandle = {reply: null, release: () => undefined};
-      const takeBack = issuer.allocate(
+      const takeBack = issuer.ask(
         {
           id: 'r1',
           service: 'holds',
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -237,7 +237,7 @@
     if (place.key !== null) cfg.noteRequest(place.service, place.key);
     let isRefused = false;
     const dataCentre = candidate?.dataCentre ?? '';
-    const takeBack = cfg.issuer.allocate({...place, dataCentre}, reply => {
+    const takeBack = cfg.issuer.ask({...place, dataCentre}, reply => {
       isRefused = reply.kind !== 'granted';
       if (isRefused) asks.delete(ask);
       stream.write({kind: 'reply', ask, reply});
--- a/packages/gateway/src/local-places.ts
+++ b/packages/gateway/src/local-places.ts
@@ -32,7 +32,7 @@
           resolve({kind: 'unavailable'});
         };
         signal.addEventListener('abort', cancel);
-        const takeBack = issuer.allocate(ask, reply => {
+        const takeBack = issuer.ask(ask, reply => {
           signal.removeEventListener('abort', cancel);
           if (reply.kind !== 'granted') return resolve(reply);
           // What the request showed of the server is noted where it ends.
