--- a/packages/dispatch/src/completed-attempt.ts
+++ b/packages/dispatch/src/completed-attempt.ts
@@ -1,5 +1,5 @@
 import type {Answer, AttemptResult} from './attempt.js';
-import {isOtherServer} from './server-instance.js';
+import {isOtherServer} from './server-run.js';
 import type {WireNames} from './wire.js';
 
 /** Outcome of a request or an order that was sent to a server. */
--- a/packages/dispatch/src/slot-allocator.ts
+++ b/packages/dispatch/src/place-issuer.ts
@@ -10,15 +10,15 @@
   waitersIn,
   type WaitQueue,
   type Waiter,
-} from './wait-queue.js';
-import {createSlackTracker} from './slack-tracker.js';
-import {createWaitQueues} from './wait-queues.js';
+} from './lane.js';
+import {createSlackTracker} from './patience.js';
+import {createWaitQueues} from './place-lanes.js';
 import {
   exceedsMaxWait,
   limitedWaitMs,
   findOverdue,
   nextWaiter,
-} from './queue-policy.js';
+} from './place-queue.js';
 import type {SlotRequest, SlotOutcome, SlotReply} from './slots.js';
 
 /** Hands out the slots of all servers, for all routers, at one place. */
--- a/packages/dispatch/src/probe-server.ts
+++ b/packages/dispatch/src/probe-server.ts
@@ -1,6 +1,6 @@
 import {connect} from 'node:net';
 import type {Backend} from './backend.js';
-import type {ProbeResult} from './crash-detector.js';
+import type {ProbeResult} from './server-ends.js';
 
 /** Hosts of one region answer within some ms, in ms. */
 const PROBE_TIMEOUT_MS = 400;
--- a/packages/dispatch/test/overload.test.ts
+++ b/packages/dispatch/test/overload.test.ts
@@ -60,7 +60,7 @@
     worth += totalValue(load, outcomes) / SEEDS.length;
     for (const outcome of outcomes.values()) {
       late += outcome.late;
-      asked += outcome.asked;
+      asked += outcome.requests;
       held.push(...outcome.waitedMs);
     }
   }
--- a/packages/dispatch/test/simulate-load.ts
+++ b/packages/dispatch/test/simulate-load.ts
@@ -4,7 +4,7 @@
 import {
   createSlotAllocator,
   type SlotAllocator,
-} from '@banyandrum/dispatch/slot-allocator.js';
+} from '@banyandrum/dispatch/place-issuer.js';
 import type {SlotReply} from '@banyandrum/dispatch/slots.js';
 import {createServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
@@ -45,7 +45,7 @@
 
 /** What callers of one kind got. */
 export interface Outcome {
-  asked: number;
+  requests: number;
   onTime: number;
   late: number;
   unserved: number;
@@ -124,15 +124,15 @@
   let earned = 0;
   for (const {name} of load.kinds) {
     const outcome = outcomes.get(name)!;
-    asked += outcome.asked;
-    earned += outcome.value * outcome.asked;
+    asked += outcome.requests;
+    earned += outcome.value * outcome.requests;
   }
   return earned / asked;
 }
 
 function createOutcome(): Outcome {
   return {
-    ...{asked: 0, onTime: 0, late: 0, unserved: 0},
+    ...{requests: 0, onTime: 0, late: 0, unserved: 0},
     ...{value: 0, waitedMs: [], refusedAgain: 0},
   };
 }
@@ -150,7 +150,7 @@
   const began = clock.now();
   const key = load.isKeyed ? Math.floor(random() * KEYS) : null;
   let heldMs = 0;
-  outcome.asked++;
+  outcome.requests++;
 
   const giveUp = (isAgain: boolean): void => {
     outcome.unserved++;
@@ -213,6 +213,6 @@
 ): void {
   const outcome = outcomes.get(name)!;
   const {lateValue: lateWorth} = kinds.find(kind => kind.name === name)!;
-  const {asked, onTime: inAim, late} = outcome;
+  const {requests: asked, onTime: inAim, late} = outcome;
   outcome.value = (inAim + late * lateWorth) / asked;
 }
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -3,11 +3,11 @@
 import {createId} from '@banyandrum/base/ids.js';
 import {reportsLeaving} from '@banyandrum/dispatch/completed-attempt.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
-import {createSlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
+import {createSlotAllocator} from '@banyandrum/dispatch/place-issuer.js';
 import {probeServer} from '@banyandrum/dispatch/probe-server.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
 import {createRetryBudget} from '@banyandrum/dispatch/retry-budget.js';
-import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
+import {createCrashDetector} from '@banyandrum/dispatch/server-ends.js';
 import {
   createServerLimits,
   noteLimit,
