--- a/packages/dispatch/test/poison-load.test.ts
+++ b/packages/dispatch/test/poison-load.test.ts
@@ -118,8 +118,8 @@
 // which clears it.
 void tap.test('servers that end without a poison request', async t => {
   for (const part of [
-    {bad: 0, crashAt: 3_000},
-    {...LARGE, bad: 0, crashAt: 3_000},
+    {poisonRequests: 0, crashAt: 3_000},
+    {...LARGE, poisonRequests: 0, crashAt: 3_000},
   ]) {
     const total = await simulateSeeds(part, seedsOf(part));
     t.equal(total.normalRefused, 0);
