--- a/packages/dispatch/src/content-digests.ts
+++ b/packages/dispatch/src/content-digests.ts
@@ -49,9 +49,9 @@
  * digestContent({caller: '10.0.0.9', method: 'GET', host, path, key: 7, body});
  * ```
  */
-export function digestContent(asked: DigestInput): ContentDigests {
-  const {caller, method, path, key, body} = asked;
-  const host = toHostName(asked.host);
+export function digestContent(input: DigestInput): ContentDigests {
+  const {caller, method, path, key, body} = input;
+  const host = toHostName(input.host);
   const bodyDigest = body === null ? '' : digest(body);
   return {
     exact: digestAll('exact', caller, method, host, path, key, bodyDigest),
--- a/packages/dispatch/test/quarantine.test.ts
+++ b/packages/dispatch/test/quarantine.test.ts
@@ -29,8 +29,8 @@
 
 interface Case {
   readonly what: string;
-  readonly end: AttemptResult;
-  readonly how: SlotOutcome;
+  readonly result: AttemptResult;
+  readonly slotOutcome: SlotOutcome;
   /** Standing afterwards, if it was unknown before and if it was suspected. */
   readonly after: readonly [Standing, Standing];
 }
@@ -40,42 +40,42 @@
 const CASES: readonly Case[] = [
   {
     what: 'the server crashed',
-    ...{end: lost('connection-lost'), how: 'lost'},
+    ...{result: lost('connection-lost'), slotOutcome: 'lost'},
     after: ['suspected', 'suspected'],
   },
   {
     what: 'nothing was written',
-    ...{end: lost('not-connected', false), how: 'unreached'},
+    ...{result: lost('not-connected', false), slotOutcome: 'unreached'},
     after: ['unknown', 'suspected'],
   },
   {
     what: 'the request timed out',
-    ...{end: lost('timeout'), how: 'lost'},
+    ...{result: lost('timeout'), slotOutcome: 'lost'},
     after: ['unknown', 'suspected'],
   },
   {
     what: 'the answer was truncated',
-    ...{end: lost('truncated'), how: 'lost'},
+    ...{result: lost('truncated'), slotOutcome: 'lost'},
     after: ['unknown', 'suspected'],
   },
   {
     what: 'a server answered',
-    ...{end: ANSWERED, how: 'answered'},
+    ...{result: ANSWERED, slotOutcome: 'answered'},
     after: ['unknown', 'unknown'],
   },
   {
     what: 'a server failed the request',
-    ...{end: ANSWERED, how: 'failed'},
+    ...{result: ANSWERED, slotOutcome: 'failed'},
     after: ['unknown', 'suspected'],
   },
   {
     what: 'another instance at the same address refused it',
-    ...{end: ANSWERED, how: 'refused'},
+    ...{result: ANSWERED, slotOutcome: 'refused'},
     after: ['unknown', 'suspected'],
   },
 ];
 
-for (const {what, end: result, how: slotOutcome, after} of CASES) {
+for (const {what, result, slotOutcome, after} of CASES) {
   void tap.test(`result of an attempt: ${what}`, async t => {
     for (const [index, wasSuspected] of [false, true].entries()) {
       const clock = createManualClock(1_000);
--- a/packages/dispatch/test/server-ends.test.ts
+++ b/packages/dispatch/test/server-ends.test.ts
@@ -50,7 +50,7 @@
   probe,
   isLeaving = false,
   replacedAfterMs,
-  isCrash: isEnd,
+  isCrash,
 } of CASES) {
   void tap.test(`a lost connection: ${what}`, async t => {
     const clock = createManualClock(1_000);
@@ -64,7 +64,7 @@
       await clock.advance(replacedAfterMs);
       crashDetector.noteReplaced('s1');
     }
-    t.equal(strikes, isEnd ? 1 : 0);
+    t.equal(strikes, isCrash ? 1 : 0);
     await clock.advance(10_000);
     t.same(crashDetector.watchedServers(), []);
   });
