--- a/packages/dispatch/src/completed-attempt.ts
+++ b/packages/dispatch/src/completed-attempt.ts
@@ -2,7 +2,7 @@
 import {isOtherServer} from './server-run.js';
 import type {WireNames} from './wire.js';
 
-/** A request or a control order that was sent to a server, and its result. */
+/** A request or a lease call that was sent to a server, and its result. */
 export interface CompletedAttempt {
   /** Id of the server instance that it was sent to. */
   readonly server: string;
--- a/packages/dispatch/src/connections.ts
+++ b/packages/dispatch/src/connections.ts
@@ -95,8 +95,8 @@
 /**
  * Resets the connection, which discards unsent data. After a normal close, data
  * held up by a network partition would still be delivered once the partition
- * heals. The server would then obey an outdated order, and two servers would
- * own the same key.
+ * heals. The server would then obey an outdated lease call, and two servers
+ * would own the same key.
  */
 export function resetConnection({socket}: Connection): void {
   socket?.resetAndDestroy();
--- a/packages/dispatch/test/attempt.test.ts
+++ b/packages/dispatch/test/attempt.test.ts
@@ -137,10 +137,10 @@
   await server.close();
 });
 
-// Guards against delivering an order after it timed out. During a network
+// Guards against delivering a lease call after it timed out. During a network
 // partition, its bytes are held up; meanwhile its sender gives up and moves the
 // keys to another server. If the bytes arrived after the partition, the first
-// server would obey the outdated order, and two servers would own the keys.
+// server would obey the outdated call, and two servers would own the keys.
 void tap.test(
   'a request that timed out never arrives after a partition',
   async t => {
