--- a/packages/gateway/src/led-servers.ts
+++ b/packages/gateway/src/assignable-servers.ts
@@ -6,7 +6,7 @@
 import type {ServiceTimes} from './service-times.js';
 
 /** What the servers of a keyed service are known by. */
-export interface LedServersConfig {
+export interface AssignableServersConfig {
   readonly backends: Backends;
   readonly times: ServiceTimes;
   readonly clock: Clock;
@@ -19,13 +19,13 @@
 const DEFAULT_SERVICE_MS = 300;
 
 /** The servers of `service` that may hold keys, as placement sees them. */
-export function ledServers(
-  {backends, times, clock, limits, hasEnded}: LedServersConfig,
+export function listAssignableServers(
+  {backends, times, clock, limits, hasEnded}: AssignableServersConfig,
   service: string,
 ): readonly LedServer[] {
   const listed = backends.ofService(service);
   const known = listed.map(({info}) => times.of(info.id, 0));
-  const typical = meanMs(known, DEFAULT_SERVICE_MS);
+  const typicalMs = meanMs(known, DEFAULT_SERVICE_MS);
   return listed
     .filter(({info, isGone}) => !info.isLeaving && !isGone)
     .map(({info, suspectUntil}) => ({
@@ -33,7 +33,7 @@
       address: info.address,
       slots: info.slots,
       serviceMs: Math.max(
-        times.of(info.id, typical),
+        times.of(info.id, typicalMs),
         limitedServiceMs(info.slots, limits.limitOf(info.id)),
       ),
       isOpen: suspectUntil <= clock.now() && !hasEnded(info.id),
--- a/packages/gateway/src/config-keeper.ts
+++ b/packages/gateway/src/config-keeper.ts
@@ -1,7 +1,7 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {RoutingConfig} from '@banyandrum/routing/config.js';
-import {packConfig, type WireConfig} from './link-config.js';
+import {toWireConfig, type WireConfig} from './link-config.js';
 import type {Platform} from './platform.js';
 import {repeat} from './repeat.js';
 
@@ -12,15 +12,15 @@
    * Up to where others may be told that the platform's log was read; null
    * before the first. Late enough for their own reads to have seen it.
    */
-  toldCursor(): number | null;
+  announcedCursor(): number | null;
   /** Another router has read up to `cursor`: looks at once if that's news. */
-  noteCursor(cursor: number): void;
+  onCursorAnnounced(cursor: number): void;
   /** A version that another router passed on, read up to `cursor`. */
-  takeRelayed(config: RoutingConfig, cursor: number): void;
+  applyRelayed(config: RoutingConfig, cursor: number): void;
   /** Up to where the platform's log was read; null before the first. */
   cursor(): number | null;
   /** The newest version as it travels. */
-  packed(): WireConfig | null;
+  wireConfig(): WireConfig | null;
   /** Time since the platform showed that there is nothing newer, in ms. */
   ageMs(): number;
   subscribe(listener: () => void): void;
@@ -31,8 +31,8 @@
  * Where nobody tells of news, a read under way that began longer ago than a
  * short one lasts may have gone silent: another one looks, in ms.
  */
-const SILENT_MS = 1_200;
-const WATCH_MS = 300;
+const STALLED_READ_MS = 1_200;
+const STALL_CHECK_MS = 300;
 /** A read that the platform holds until there is news, in ms. */
 const LONG_WAIT_MS = 15_000;
 /** The same where nobody else would tell of news that a read missed, in ms. */
@@ -49,15 +49,15 @@
  * A router that just started hears a leader within about this time, in ms, and
  * reads no more by itself then; without one it goes on.
  */
-const FIRST_PAUSE_MS = 500;
+const STARTUP_PAUSE_MS = 500;
 /** Whether the leader still passes versions on is looked at this often, ms. */
-const RELAY_LOOK_MS = 250;
+const RELAY_CHECK_MS = 250;
 /**
  * Reads that the platform holds end at the news by themselves. Others are told
  * so much later, in ms: told at once, each of them asked a second time, and
  * every change cost twice the calls.
  */
-const OWN_READ_MS = 300;
+const ANNOUNCE_DELAY_MS = 300;
 
 /**
  * Reads the configuration until stopped. A version never replaces a newer one.
@@ -71,27 +71,27 @@
  * keeper.current();
  * ```
  */
-export function keepConfig(
+export function createConfigKeeper(
   platform: Platform,
   clock: Clock,
   emit: Emit,
-  isToldOfNews: () => boolean,
+  isNotified: () => boolean,
   isRelayed: () => boolean = () => false,
 ): ConfigKeeper {
   let config: RoutingConfig | null = null;
   let cursor: number | null = null;
-  let packed: WireConfig | null = null;
-  let toldCursor: number | null = null;
+  let wireConfig: WireConfig | null = null;
+  let announcedCursor: number | null = null;
   let isStopped = false;
-  let isLooking = false;
-  let beganAt = clock.now();
+  let isReadingNow = false;
+  let readStartedAt = clock.now();
   let hasFailed = false;
   let confirmedAt = -Infinity;
-  let pauseMs = RETRY_MS;
+  let backoffMs = RETRY_MS;
   let retryAt = -Infinity;
   const listeners = new Set<() => void>();
 
-  const take = (next: RoutingConfig | null): void => {
+  const apply = (next: RoutingConfig | null): void => {
     if (next === null) return;
     if (config !== null && next.version <= config.version) return;
     config = next;
@@ -99,10 +99,11 @@
     listeners.forEach(listener => listener());
   };
 
-  const moveTo = (next: number): void => {
+  const advanceCursor = (next: number): void => {
     cursor = next;
-    clock.after(OWN_READ_MS, () => {
-      if (toldCursor === null || next > toldCursor) toldCursor = next;
+    clock.after(ANNOUNCE_DELAY_MS, () => {
+      if (announcedCursor === null || next > announcedCursor)
+        announcedCursor = next;
     });
   };
 
@@ -111,20 +112,20 @@
     if (result.kind === 'failed') {
       if (!hasFailed) emit('config-unreadable', {detail: result.detail});
       hasFailed = true;
-      retryAt = clock.now() + pauseMs * (0.75 + Math.random() / 2);
-      pauseMs = Math.min(RETRY_MAX_MS, pauseMs * 2);
+      retryAt = clock.now() + backoffMs * (0.75 + Math.random() / 2);
+      backoffMs = Math.min(RETRY_MAX_MS, backoffMs * 2);
       return false;
     }
     confirmedAt = clock.now();
-    pauseMs = RETRY_MS;
+    backoffMs = RETRY_MS;
     if (hasFailed) emit('config-readable', {cursor: result.cursor});
     hasFailed = false;
-    if (cursor === null || result.cursor > cursor) moveTo(result.cursor);
+    if (cursor === null || result.cursor > cursor) advanceCursor(result.cursor);
     if (result.unreadable !== null) {
       const detail = result.unreadable;
       emit('config-refused', {detail, cursor: result.cursor});
     }
-    take(result.config);
+    apply(result.config);
     return true;
   };
 
@@ -132,49 +133,49 @@
   const loop = {clock, emit, goesOn};
   repeat({...loop, name: 'config', ms: 0}, async () => {
     if (isRelayed()) {
-      await sleep(clock, RELAY_LOOK_MS);
-      beganAt = clock.now();
+      await sleep(clock, RELAY_CHECK_MS);
+      readStartedAt = clock.now();
       return;
     }
-    const waitMs = isToldOfNews() ? LONG_WAIT_MS : SHORT_WAIT_MS;
-    beganAt = clock.now();
+    const waitMs = isNotified() ? LONG_WAIT_MS : SHORT_WAIT_MS;
+    readStartedAt = clock.now();
     const isFirst = cursor === null;
     const isRead = await read(config === null ? SHORT_WAIT_MS : waitMs);
     if (!isRead) await sleep(clock, Math.max(0, retryAt - clock.now()));
-    else if (isFirst) await sleep(clock, FIRST_PAUSE_MS);
+    else if (isFirst) await sleep(clock, STARTUP_PAUSE_MS);
   });
 
-  const look = (): void => {
-    if (isLooking || clock.now() < retryAt) return;
-    isLooking = true;
+  const readNow = (): void => {
+    if (isReadingNow || clock.now() < retryAt) return;
+    isReadingNow = true;
     void read(0).finally(() => {
-      isLooking = false;
+      isReadingNow = false;
     });
   };
 
-  repeat({...loop, name: 'config-watch', ms: WATCH_MS}, async () => {
-    if (isToldOfNews() || clock.now() - beganAt < SILENT_MS) return;
-    look();
+  repeat({...loop, name: 'config-watch', ms: STALL_CHECK_MS}, async () => {
+    if (isNotified() || clock.now() - readStartedAt < STALLED_READ_MS) return;
+    readNow();
   });
 
   return {
     current: () => config,
-    toldCursor: () => toldCursor,
-    noteCursor(other) {
+    announcedCursor: () => announcedCursor,
+    onCursorAnnounced(other) {
       if (cursor !== null && other <= cursor) return;
-      look();
+      readNow();
     },
-    takeRelayed(next, other) {
-      if (cursor === null || other > cursor) moveTo(other);
-      take(next);
+    applyRelayed(next, other) {
+      if (cursor === null || other > cursor) advanceCursor(other);
+      apply(next);
     },
     cursor: () => cursor,
-    packed() {
+    wireConfig() {
       if (config === null || cursor === null) return null;
-      if (packed?.version !== config.version) {
-        packed = packConfig(config, cursor);
+      if (wireConfig?.version !== config.version) {
+        wireConfig = toWireConfig(config, cursor);
       }
-      return packed;
+      return wireConfig;
     },
     ageMs: () => clock.now() - confirmedAt,
     subscribe: listener => void listeners.add(listener),
--- a/packages/gateway/src/room.ts
+++ b/packages/gateway/src/host-capacity.ts
@@ -1,5 +1,5 @@
 /** What a router's host has for the work of a leader. */
-export interface Room {
+export interface HostCapacity {
   /** Processor, in cores of the usual speed. */
   readonly processors: number;
   /** The host's own link, in Mbit/s. */
@@ -10,7 +10,7 @@
 export interface Candidate {
   /** `ip:port` for other routers. */
   readonly address: string;
-  readonly room: Room;
+  readonly room: HostCapacity;
   readonly dataCentre: string;
 }
 
@@ -20,12 +20,15 @@
  * leader of 0.27 cores came 250 to 350 ms late to all that it did, and sent on
  * requests whose callers had left; one of 1.35 cores was busy for half its time.
  */
-const MOVE_FACTOR = 1.5;
+const MIN_PROCESSOR_RATIO = 1.5;
 
 /** Whether leading is clearly better off on `other` than on `own`. */
-export function hasMoreRoom(other: Room, own: Room): boolean {
+export function hasClearlyMoreCapacity(
+  other: HostCapacity,
+  own: HostCapacity,
+): boolean {
   return (
-    other.processors >= own.processors * MOVE_FACTOR &&
+    other.processors >= own.processors * MIN_PROCESSOR_RATIO &&
     other.linkMbps >= own.linkMbps
   );
 }
@@ -40,19 +43,19 @@
  * if (next !== null) ask(next.address);
  * ```
  */
-export function pickRoomiest<T extends Candidate>(
-  own: Room,
+export function pickLargestHost<T extends Candidate>(
+  own: HostCapacity,
   candidates: Iterable<T>,
 ): T | null {
   let best: T | null = null;
   for (const candidate of candidates) {
-    if (!hasMoreRoom(candidate.room, own)) continue;
-    if (best === null || isRoomier(candidate.room, best.room)) best = candidate;
+    if (!hasClearlyMoreCapacity(candidate.room, own)) continue;
+    if (best === null || isLarger(candidate.room, best.room)) best = candidate;
   }
   return best;
 }
 
-function isRoomier(a: Room, b: Room): boolean {
+function isLarger(a: HostCapacity, b: HostCapacity): boolean {
   if (a.processors !== b.processors) return a.processors > b.processors;
   return a.linkMbps > b.linkMbps;
 }
--- a/packages/gateway/src/keep-up.ts
+++ b/packages/gateway/src/keep-up.ts
@@ -73,7 +73,7 @@
     const isKnown = list.cursor() !== null;
     if (isAlone && isKnown && now - readAt < aloneMs) return;
     readAt = now;
-    list.take(await platform.readServers(list.cursor()));
+    list.applyRead(await platform.readServers(list.cursor()));
   });
   repeat({...cfg, name: 'tables', ms: TABLES_MS}, () => readTables(cfg));
   repeat({...cfg, name: 'shares', ms: SHARES_MS}, async () =>
@@ -102,7 +102,7 @@
   if (stored === null || !isNeeded()) return;
   emit('tables-taken', {from: 'store', linkAgeMs: Math.round(link.ageMs())});
   const storeEpoch = platform.history.epoch();
-  owners.takeTables(
+  owners.replaceTables(
     new Map(
       stored.map(({service, holdings}) => [
         service,
--- a/packages/gateway/src/key-owners.ts
+++ b/packages/gateway/src/key-owners.ts
@@ -12,7 +12,7 @@
 /** What this router knows of ownership. */
 export interface KeyOwners extends Owners {
   /** Takes the tables of the leader, or of the store in its absence. */
-  takeTables(tables: ServedTables): void;
+  replaceTables(tables: ServedTables): void;
   /** Requests counted since the last call. */
   drainCounts(): KeyCounts;
   /** Servers whose runs were seen to have ended. */
@@ -20,7 +20,7 @@
 }
 
 /** Ended runs that are remembered: some weeks of restarts. */
-const MAX_REPLACED = 10_000;
+const MAX_REPLACED_INSTANCES = 10_000;
 
 /**
  * Keeps the tables that requests are routed by.
@@ -65,13 +65,13 @@
     },
     noteReplaced(server) {
       replaced.add(server);
-      if (replaced.size > MAX_REPLACED) {
+      if (replaced.size > MAX_REPLACED_INSTANCES) {
         const [oldest] = replaced;
         replaced.delete(oldest!);
       }
       emit('server-replaced', {server});
     },
-    takeTables(next) {
+    replaceTables(next) {
       tables = next;
       const woken = waiting;
       waiting = [];
--- a/packages/gateway/src/succession.ts
+++ b/packages/gateway/src/leader-election.ts
@@ -1,9 +1,13 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
-import {hasMoreRoom, type Candidate, type Room} from './room.js';
+import {
+  hasClearlyMoreCapacity,
+  type Candidate,
+  type HostCapacity,
+} from './host-capacity.js';
 
 /** What a router that the platform chose knows of whoever leads now. */
-export interface SuccessionConfig {
+export interface LeaderElectionConfig {
   readonly emit: Emit;
   /** This router's own address for the others, `ip:port`. */
   readonly self: string;
@@ -11,42 +15,42 @@
   isChosen(): boolean;
   isLeading(): boolean;
   /** Since a restore of the store was noticed here, in ms. */
-  restoredMs(): number;
+  sinceRestoreMs(): number;
   /** Since when the leader that is heard had no answer of the platform, ms. */
-  heardLeaderTouchMs(): number | null;
+  leaderContactAgeMs(): number | null;
   lastLeader(): Promise<LeaderRead>;
   /** Follows whoever leads at the address; false where nobody does. */
-  reach(address: string): Promise<boolean>;
+  followAt(address: string): Promise<boolean>;
   /** Who should lead, as the last leader told, the best first. */
   deputies(): readonly Candidate[];
-  readonly room: Room;
+  readonly room: HostCapacity;
   /** Asks the router at the address to lead; whether it does. */
-  offer(address: string): Promise<boolean>;
+  offerLeadership(address: string): Promise<boolean>;
   /** Begins a term; whether this router leads then. */
-  begin(): Promise<boolean>;
+  startTerm(): Promise<boolean>;
 }
 
 /** Decides whether this router becomes the leader. */
-export interface Succession {
+export interface LeaderElection {
   /** Something may have changed: chosen, or the leader is heard no more. */
-  consider(): Promise<void>;
+  runIfNeeded(): Promise<void>;
   /**
    * One that hears no leader asks this router to lead: whether anybody does
    * then. A leader that works is kept, though the other one can't reach it.
    */
-  answer(): Promise<boolean>;
+  handleOffer(): Promise<boolean>;
 }
 
 /**
  * A leader that the platform hasn't answered for so long has lost it, in ms:
  * it can't record moves. Some joins without an answer in a row.
  */
-const OUT_OF_TOUCH_MS = 2_000;
+const PLATFORM_CONTACT_TIMEOUT_MS = 2_000;
 /**
  * After a restore of the store a leader that is heard has this time to come back
  * into touch with it, in ms: it alone knows who holds which keys.
  */
-const RESTORED_MS = 2_000;
+const RESTORE_GRACE_MS = 2_000;
 
 /**
  * The platform chooses anew whenever routers come or go. A leader that works is
@@ -62,50 +66,56 @@
  * await succession.consider();
  * ```
  */
-export function createSuccession(cfg: SuccessionConfig): Succession {
-  let isBusy = false;
+export function createLeaderElection(
+  cfg: LeaderElectionConfig,
+): LeaderElection {
+  let isRunning = false;
 
-  const hearsWorking = (): boolean => {
-    const touchMs = cfg.heardLeaderTouchMs();
+  const hasWorkingLeader = (): boolean => {
+    const touchMs = cfg.leaderContactAgeMs();
     if (touchMs === null) return false;
-    return touchMs <= OUT_OF_TOUCH_MS || cfg.restoredMs() < RESTORED_MS;
+    return (
+      touchMs <= PLATFORM_CONTACT_TIMEOUT_MS ||
+      cfg.sinceRestoreMs() < RESTORE_GRACE_MS
+    );
   };
 
   const isNeeded = (): boolean =>
-    cfg.isChosen() && !cfg.isLeading() && !hearsWorking();
+    cfg.isChosen() && !cfg.isLeading() && !hasWorkingLeader();
 
   const findLeader = async (): Promise<'found' | 'none' | 'unknown'> => {
-    if (cfg.heardLeaderTouchMs() !== null) return 'none';
+    if (cfg.leaderContactAgeMs() !== null) return 'none';
     const last = await cfg.lastLeader();
     if (last.kind === 'failed') return 'unknown';
     if (last.address === null || last.address === cfg.self) return 'none';
-    return (await cfg.reach(last.address)) ? 'found' : 'none';
+    return (await cfg.followAt(last.address)) ? 'found' : 'none';
   };
 
-  const succeed = async (): Promise<void> => {
+  const elect = async (): Promise<void> => {
     if ((await findLeader()) !== 'none' || !isNeeded()) return;
-    cfg.emit('succession', {heardTouchMs: cfg.heardLeaderTouchMs()});
+    cfg.emit('succession', {heardTouchMs: cfg.leaderContactAgeMs()});
     for (const {address, room} of cfg.deputies()) {
-      if (address === cfg.self || !hasMoreRoom(room, cfg.room)) continue;
-      const leads = await cfg.offer(address);
+      if (address === cfg.self || !hasClearlyMoreCapacity(room, cfg.room))
+        continue;
+      const leads = await cfg.offerLeadership(address);
       cfg.emit('leading-offered', {to: address, leads});
-      if (leads) return void (await cfg.reach(address));
+      if (leads) return void (await cfg.followAt(address));
     }
-    if (isNeeded()) await cfg.begin();
+    if (isNeeded()) await cfg.startTerm();
   };
 
   return {
-    async consider() {
-      if (isBusy || !isNeeded()) return;
-      isBusy = true;
+    async runIfNeeded() {
+      if (isRunning || !isNeeded()) return;
+      isRunning = true;
       // Left busy by a defect, it would never lead again.
-      await succeed().finally(() => {
-        isBusy = false;
+      await elect().finally(() => {
+        isRunning = false;
       });
     },
-    async answer() {
-      if (cfg.isLeading() || hearsWorking()) return true;
-      return cfg.begin();
+    async handleOffer() {
+      if (cfg.isLeading() || hasWorkingLeader()) return true;
+      return cfg.startTerm();
     },
   };
 }
--- a/packages/gateway/src/hand-over.ts
+++ b/packages/gateway/src/leadership-handover.ts
@@ -5,18 +5,18 @@
  * A leader that leaves waits so long for the next one, in ms, and looks for it
  * this often: two joins of whoever is chosen, and the start of its term.
  */
-const HAND_OVER_MS = 1_200;
-const HAND_OVER_STEP_MS = 200;
+const SUCCESSOR_WAIT_MS = 1_200;
+const SUCCESSOR_CHECK_MS = 200;
 
 /** Leads on until another one does, so that places go on being issued. */
-export async function handOver(
+export async function handOverLeadership(
   leadership: Leadership,
   clock: Clock,
 ): Promise<void> {
-  const end = clock.now() + HAND_OVER_MS;
+  const end = clock.now() + SUCCESSOR_WAIT_MS;
   while (leadership.isLeading() && clock.now() < end) {
-    await sleep(clock, HAND_OVER_STEP_MS);
-    leadership.check();
+    await sleep(clock, SUCCESSOR_CHECK_MS);
+    leadership.checkTerm();
   }
   leadership.resign();
 }
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -29,20 +29,20 @@
   /** Null until it leads and knows the tables. */
   tables(): ServedTables | null;
   /** Since when the platform showed that no later term began, in ms. */
-  touchMs(): number;
+  confirmationAgeMs(): number;
   /** The term in which it leads; null where it doesn't. */
   epoch(): number | null;
   /** Another router says that it leads in this term. */
-  noteTerm(epoch: number): void;
+  observeTerm(epoch: number): void;
   /** Changes whenever the tables do. */
   version(): string;
   /** Begins a term, which ends the one before it; whether it leads then. */
-  begin(): Promise<boolean>;
+  startTerm(): Promise<boolean>;
   /** Another router may have begun: asks at once. */
-  check(): void;
+  checkTerm(): void;
   /** This router stops. */
   resign(): void;
-  takeCounts(counts: KeyCounts): void;
+  addRequestCounts(counts: KeyCounts): void;
   subscribe(listener: () => void): void;
 }
 
@@ -52,7 +52,7 @@
   readonly clock: Clock;
   readonly emit: Emit;
   /** Time that also passes while the host is suspended, in ms. */
-  wakefulNow(): number;
+  suspendAwareNow(): number;
   readonly timing: HoldTiming;
   /** Distinguishes the versions of this run. */
   readonly boot: string;
@@ -77,19 +77,19 @@
  * Whether a later term has begun is asked this often, in ms: a few times within
  * a leader's authority, and one call to the platform each.
  */
-const CHECK_MS = 2_500;
+const TERM_CHECK_MS = 2_500;
 /** A term ends with so many fences left, for moves under way. */
-const SPARE_FENCES = 2 ** 16;
+const RESERVED_FENCES = 2 ** 16;
 
 /** What a term takes over, by service. */
-type Inheritance = ReadonlyMap<string, readonly InheritedHolding[]>;
+type InheritedAssignments = ReadonlyMap<string, readonly InheritedHolding[]>;
 
-const NOTHING: Inheritance = new Map();
+const NO_ASSIGNMENTS: InheritedAssignments = new Map();
 
 interface Term {
   readonly epoch: number;
-  readonly inherited: Inheritance;
-  readonly leads: Map<string, ServiceLead>;
+  readonly inherited: InheritedAssignments;
+  readonly services: Map<string, ServiceLead>;
   fence: number;
 }
 
@@ -110,67 +110,68 @@
   let term: Term | null = null;
   let isStarting = false;
   let confirmedAt = -Infinity;
-  let changes = 0;
+  let tablesRevision = 0;
   let cancelTick = (): void => undefined;
 
-  const gathered = createGathered(clock, () =>
+  const notifier = createGathered(clock, () =>
     listeners.forEach(listener => listener()),
   );
   /** What gains a server may be told of a little later. */
-  const changed = (): void => {
-    changes++;
-    gathered.later();
+  const notifyLater = (): void => {
+    tablesRevision++;
+    notifier.later();
   };
   /** What loses its server is known before the server hears of it. */
-  const withdrawn = (): void => {
-    changes++;
-    gathered.soon();
+  const notifyBeforeRelease = (): void => {
+    tablesRevision++;
+    notifier.soon();
   };
 
-  const mayAct = (): boolean => cfg.wakefulNow() - confirmedAt < AUTHORITY_MS;
+  const hasAuthority = (): boolean =>
+    cfg.suspendAwareNow() - confirmedAt < AUTHORITY_MS;
 
-  const stop = (own: Term): void => {
+  const stopServices = (own: Term): void => {
     cancelTick();
-    for (const lead of own.leads.values()) lead.stop();
+    for (const lead of own.services.values()) lead.stop();
   };
 
-  const end = (why: string): void => {
+  const endTerm = (why: string): void => {
     if (term === null) return;
     emit('leadership-ended', {epoch: term.epoch, why});
-    stop(term);
+    stopServices(term);
     term = null;
-    changes++;
-    gathered.now();
+    tablesRevision++;
+    notifier.now();
   };
 
-  const earlierActUntil = (): number => history.seenAt() + AUTHORITY_MS;
+  const priorLeadersActUntil = (): number => history.seenAt() + AUTHORITY_MS;
 
-  const isUnrecordedFree = (): boolean => {
+  const areUnrecordedKeysFree = (): boolean => {
     const isWhole =
       history.epoch() === 0 || (cfg.isFirstStart && !hasSeenRestore);
-    return isWhole || clock.now() >= cfg.timing.lapseOf(earlierActUntil());
+    return isWhole || clock.now() >= cfg.timing.lapseOf(priorLeadersActUntil());
   };
 
   /** Whether the store was restored since the term began. */
-  const isRestored = ({epoch}: Term): boolean =>
+  const isStoreRestoredSince = ({epoch}: Term): boolean =>
     storeEpochOfTerm(epoch) < history.epoch();
 
   /** A term that the store lost records nothing: its successor would. */
-  const ledgerOf = (own: Term): Pick<Ledger, 'save'> => ({
+  const tableStoreForTerm = (own: Term): Pick<Ledger, 'save'> => ({
     save: async table =>
-      isRestored(own) ? 'failed' : platform.ledger.save(table),
+      isStoreRestoredSince(own) ? 'failed' : platform.ledger.save(table),
   });
 
-  const leadNew = (own: Term): void => {
+  const startNewServices = (own: Term): void => {
     for (const service of cfg.keyedServices()) {
-      if (own.leads.has(service)) continue;
+      if (own.services.has(service)) continue;
       const lead = leadService({
         service,
         inherited: own.inherited.get(service) ?? null,
-        earlierActUntil: earlierActUntil(),
-        isUnrecordedFree,
-        wakefulNow: cfg.wakefulNow,
-        ledger: ledgerOf(own),
+        earlierActUntil: priorLeadersActUntil(),
+        isUnrecordedFree: areUnrecordedKeysFree,
+        wakefulNow: cfg.suspendAwareNow,
+        ledger: tableStoreForTerm(own),
         orders: platform.orders,
         clock,
         timing: cfg.timing,
@@ -179,43 +180,45 @@
         isListSettled: cfg.isListSettled,
         waitingKeys: () => cfg.waitingKeys(service),
         nextFence: () => toFence(own.epoch, own.fence++),
-        mayAct: () => term === own && mayAct(),
-        onChange: changed,
-        onWithdrawn: withdrawn,
+        mayAct: () => term === own && hasAuthority(),
+        onChange: notifyLater,
+        onWithdrawn: notifyBeforeRelease,
         onFenced: () => {
-          if (term === own) end('fenced');
+          if (term === own) endTerm('fenced');
         },
         emit: (event, fields) => emit(event, {service, ...fields}),
       });
-      own.leads.set(service, lead);
-      withdrawn();
+      own.services.set(service, lead);
+      notifyBeforeRelease();
     }
   };
 
   const tick = (own: Term): void => {
     if (term !== own) return;
-    if (own.fence >= FENCES_A_TERM - SPARE_FENCES) return end('fences-used');
-    if (isRestored(own) && !mayAct()) return end('restored');
-    leadNew(own);
-    for (const lead of own.leads.values()) lead.tick();
+    if (own.fence >= FENCES_A_TERM - RESERVED_FENCES)
+      return endTerm('fences-used');
+    if (isStoreRestoredSince(own) && !hasAuthority())
+      return endTerm('restored');
+    startNewServices(own);
+    for (const lead of own.services.values()) lead.tick();
     cancelTick = clock.after(TICK_MS, () => tick(own));
   };
 
   /** What this router knows, where the store lost it. */
-  const rememberedBy = (before: Term): Inheritance => {
+  const recallAssignments = (before: Term): InheritedAssignments => {
     const actUntil = confirmedAt + AUTHORITY_MS;
     return new Map(
-      [...before.leads]
+      [...before.services]
         .map(([name, lead]) => [name, lead.remembered(actUntil)] as const)
         .filter(([, holdings]) => holdings.length > 0),
     );
   };
 
-  const inherit = (
+  const mergeAssignments = (
     epoch: number,
     stored: readonly RangeTable[],
-    remembered: Inheritance,
-  ): Inheritance => {
+    remembered: InheritedAssignments,
+  ): InheritedAssignments => {
     const inherited = new Map(remembered);
     for (const table of stored) {
       const {service} = table;
@@ -228,9 +231,9 @@
   };
 
   /** Begins a term, in place of `before`, which the store lost. */
-  const start = async (before: Term | null): Promise<void> => {
+  const beginTerm = async (before: Term | null): Promise<void> => {
     isStarting = true;
-    const askedAt = cfg.wakefulNow();
+    const askedAt = cfg.suspendAwareNow();
     const epoch = await platform.ledger.begin(cfg.address);
     const stored = epoch === null ? null : await platform.ledger.load();
     if (
@@ -241,88 +244,90 @@
       emit('leadership-failed', {epoch});
       await sleep(clock, RETRY_MS);
     } else if (term === before) {
-      const remembered = before === null ? NOTHING : rememberedBy(before);
-      const inherited = inherit(epoch, stored, remembered);
-      if (before !== null) stop(before);
+      const remembered =
+        before === null ? NO_ASSIGNMENTS : recallAssignments(before);
+      const inherited = mergeAssignments(epoch, stored, remembered);
+      if (before !== null) stopServices(before);
       confirmedAt = askedAt;
       emit('leadership-began', {
         ...{epoch, tables: stored.length, before: before?.epoch ?? null},
         remembered: remembered.size,
       });
-      term = {epoch, inherited, leads: new Map(), fence: 1};
+      term = {epoch, inherited, services: new Map(), fence: 1};
       tick(term);
-      void checkOn(term);
+      void checkPeriodically(term);
     }
     isStarting = false;
   };
 
-  const begin = async (): Promise<void> => {
+  const beginFirstTerm = async (): Promise<void> => {
     if (isStarting || term !== null) return;
-    await start(null);
+    await beginTerm(null);
   };
 
   /**
    * Goes on in a new term after the store lost this one's: only this router
    * knows of what was recorded since the copy.
    */
-  const goOn = async (own: Term): Promise<void> => {
+  const continueInNewTerm = async (own: Term): Promise<void> => {
     if (isStarting) return;
-    while (term === own && isRestored(own) && mayAct()) await start(own);
+    while (term === own && isStoreRestoredSince(own) && hasAuthority())
+      await beginTerm(own);
   };
 
   const check = async (own: Term): Promise<void> => {
-    const askedAt = cfg.wakefulNow();
+    const askedAt = cfg.suspendAwareNow();
     const isNewest = await platform.ledger.isNewest();
     if (term !== own) return;
-    if (isRestored(own)) return void goOn(own);
+    if (isStoreRestoredSince(own)) return void continueInNewTerm(own);
     if (isNewest === true) confirmedAt = Math.max(confirmedAt, askedAt);
-    if (isNewest === false) end('replaced');
+    if (isNewest === false) endTerm('replaced');
   };
 
-  const checkOn = async (own: Term): Promise<void> => {
+  const checkPeriodically = async (own: Term): Promise<void> => {
     while (term === own) {
-      await sleep(clock, CHECK_MS);
+      await sleep(clock, TERM_CHECK_MS);
       if (term === own) await check(own);
     }
   };
 
   history.subscribe((_epoch, before) => {
     hasSeenRestore ||= before !== null;
-    if (term !== null) void goOn(term);
+    if (term !== null) void continueInNewTerm(term);
   });
 
   return {
     isLeading: () => term !== null,
-    touchMs: () => cfg.wakefulNow() - confirmedAt,
+    confirmationAgeMs: () => cfg.suspendAwareNow() - confirmedAt,
     epoch: () => term?.epoch ?? null,
-    noteTerm(epoch) {
+    observeTerm(epoch) {
       if (term === null || epoch <= term.epoch) return;
       // One that began since a restore knows less than this router.
       if (storeEpochOfTerm(epoch) > storeEpochOfTerm(term.epoch)) {
-        return void goOn(term);
+        return void continueInNewTerm(term);
       }
-      end('replaced');
+      endTerm('replaced');
     },
     tables() {
       if (term === null) return null;
-      const leads = [...term.leads.values()];
+      const leads = [...term.services.values()];
       return new Map(leads.map(lead => [lead.service, lead.served()]));
     },
-    version: () => `${cfg.boot}-${changes}`,
-    async begin() {
-      await begin();
+    version: () => `${cfg.boot}-${tablesRevision}`,
+    async startTerm() {
+      await beginFirstTerm();
       return term !== null;
     },
-    check() {
+    checkTerm() {
       if (term !== null) void check(term);
     },
     resign() {
       confirmedAt = -Infinity;
-      end('resigned');
+      endTerm('resigned');
     },
-    takeCounts(counts) {
+    addRequestCounts(counts) {
       for (const [service, keys] of counts) {
-        const load = term?.leads.get(service)?.load;
+        const load = term?.services.get(service)?.load;
         if (load === undefined) continue;
         for (const [key, count] of keys) load.add(key, count);
       }
--- a/packages/gateway/src/link-telling.ts
+++ b/packages/gateway/src/link-broadcaster.ts
@@ -15,12 +15,16 @@
   type EncodedMessage,
   type StateMessage,
 } from './link-messages.js';
-import {diffList, diffTables, digestOf} from './link-state.js';
-import {pickDeputies, type Candidate, type Room} from './room.js';
+import {diffList, diffTables, digestServers} from './link-state.js';
+import {
+  pickDeputies,
+  type Candidate,
+  type HostCapacity,
+} from './host-capacity.js';
 import type {ServerList} from './server-list.js';
 
 /** What telling the other routers needs. */
-export interface TellerConfig {
+export interface BroadcasterConfig {
   readonly clock: Clock;
   readonly leadership: Leadership;
   readonly list: ServerList;
@@ -32,30 +36,30 @@
   /** Since when it knows of nothing newer, in ms. */
   configAgeMs(): number;
   /** Since when this router had no answer of the platform, in ms. */
-  touchMs(): number;
+  contactAgeMs(): number;
   /** What this router's host has for leading. */
-  readonly room: Room;
+  readonly room: HostCapacity;
 }
 
 /** A router that is told. */
-export interface Listener {
+export interface Subscriber {
   readonly stream: {write(message: EncodedMessage): unknown};
   /** What it was told last; null until all was told once. */
-  told: Shared | null;
+  lastSent: SharedState | null;
   /** Of the list as it knew it when it came; null: not at all. */
   listDigest: string | null;
   /** Who it is; null until it said so. */
   candidate: Candidate | null;
   /** It may still say who it is, and what it knows. */
-  isNew: boolean;
+  awaitsHello: boolean;
 }
 
 /** Tells other routers what this one, their leader, knows. */
-export interface Teller {
+export interface StateBroadcaster {
   /** Tells some of `all` that listen. */
-  tell(some: Iterable<Listener>, all: Iterable<Listener>): void;
+  send(some: Iterable<Subscriber>, all: Iterable<Subscriber>): void;
   /** Another heartbeat: the link has room again. */
-  beat(all: Iterable<Listener>): void;
+  onHeartbeat(all: Iterable<Subscriber>): void;
 }
 
 /**
@@ -63,26 +67,32 @@
  * more they are: they use them only while they can't hear the leader, and each
  * costs kilobytes to each of them.
  */
-const TABLES_MS = 1_000;
-const TABLES_MS_A_ROUTER = 15;
+const MIN_TABLES_INTERVAL_MS = 1_000;
+const TABLES_INTERVAL_PER_ROUTER_MS = 15;
 
 /**
  * A configuration is passed on where that takes the leader's link this long at
  * the most, in ms; else routers read it themselves, as fast as without it.
  */
-const RELAY_MS = 400;
+const MAX_RELAY_MS = 400;
 
 /**
  * Routers that just came are told all that there is, some tens of kilobytes
  * each, in this share of the leader's link. Told at once, 77 of them waited
  * four seconds on a link of 10 Mbit/s, and left for its silence.
  */
-const WHOLE_SHARE = 0.4;
+const FULL_STATE_LINK_SHARE = 0.4;
 
 /** A router that just came. */
-export function createListener(stream: Listener['stream']): Listener {
+export function createSubscriber(stream: Subscriber['stream']): Subscriber {
   return {
-    ...{stream, told: null, listDigest: null, candidate: null, isNew: true},
+    ...{
+      stream,
+      lastSent: null,
+      listDigest: null,
+      candidate: null,
+      awaitsHello: true,
+    },
   };
 }
 
@@ -96,31 +106,44 @@
  * teller.tell(followers, followers);
  * ```
  */
-export function createTeller(cfg: TellerConfig): Teller {
-  const shared = createShared(cfg);
-  let budget = wholeBytes(cfg.room);
+export function createStateBroadcaster(
+  cfg: BroadcasterConfig,
+): StateBroadcaster {
+  const shared = createSharedState(cfg);
+  let budget = fullStateBudget(cfg.room);
 
   return {
-    tell(some, all) {
+    send(some, all) {
       const candidates = [...all].map(({candidate}) => candidate);
       const next = shared.current(candidates.flatMap(each => each ?? []));
       const about = {routers: candidates.length + 1};
-      const changes = new Map<Shared, EncodedMessage>();
+      const changes = new Map<SharedState, EncodedMessage>();
       const {deputies} = next;
-      const brief = encoded(() => ({...briefState(cfg, about), deputies}));
-      const whole = encoded(() => stateFor(cfg, NOTHING_TOLD, next, about));
-      const known = encoded(() =>
-        stateFor(cfg, {...NOTHING_TOLD, servers: next.servers}, next, about),
+      const brief = encodeLazily(() => ({
+        ...heartbeatState(cfg, about),
+        deputies,
+      }));
+      const whole = encodeLazily(() =>
+        stateSince(cfg, NOTHING_KNOWN, next, about),
+      );
+      const known = encodeLazily(() =>
+        stateSince(cfg, {...NOTHING_KNOWN, servers: next.servers}, next, about),
       );
       for (const listener of some) {
-        const {told, stream, candidate, listDigest, isNew} = listener;
+        const {
+          lastSent: told,
+          stream,
+          candidate,
+          listDigest,
+          awaitsHello: isNew,
+        } = listener;
         if (candidate === null && isNew) continue;
         if (told !== null) {
           const message = changes.get(told) ?? {
-            bytes: encode(stateFor(cfg, told, next, about)),
+            bytes: encode(stateSince(cfg, told, next, about)),
           };
           changes.set(told, message);
-          listener.told = next;
+          listener.lastSent = next;
           stream.write(message);
           continue;
         }
@@ -130,20 +153,20 @@
         }
         const message = listDigest === next.listDigest ? known() : whole();
         budget -= message.bytes.length;
-        listener.told = next;
+        listener.lastSent = next;
         stream.write(message);
       }
     },
-    beat(all) {
-      budget = wholeBytes(cfg.room);
+    onHeartbeat(all) {
+      budget = fullStateBudget(cfg.room);
       // One that says nothing by now is told all the same.
-      for (const listener of all) listener.isNew = false;
+      for (const listener of all) listener.awaitsHello = false;
     },
   };
 }
 
 /** What all routers are told, as it was at one time. */
-export interface Shared {
+export interface SharedState {
   readonly tables: ServedTables;
   readonly tablesVersion: string;
   readonly servers: readonly ServerInfo[];
@@ -156,17 +179,17 @@
 }
 
 /** Keeps what routers are told; the same object while nothing changed. */
-function createShared(cfg: TellerConfig): {
+function createSharedState(cfg: BroadcasterConfig): {
   /** `candidates`: those that could lead next. */
-  current(candidates: readonly Candidate[]): Shared;
+  current(candidates: readonly Candidate[]): SharedState;
 } {
   const {leadership, list, clock, config} = cfg;
-  let shared: Shared = {
+  let shared: SharedState = {
     tables: new Map(),
     tablesVersion: '',
     servers: [],
     listVersion: -1,
-    listDigest: digestOf([]),
+    listDigest: digestServers([]),
     config: null,
     deputies: [],
     suspects: [],
@@ -175,34 +198,37 @@
   let tablesAt = -Infinity;
   let suspectRows: readonly Suspect[] = [];
 
-  const takeTables = (routers: number): void => {
+  const updateTables = (routers: number): void => {
     const tables = leadership.tables();
     const tablesVersion = leadership.version();
     const now = clock.now();
     if (tables === null || tablesVersion === shared.tablesVersion) return;
-    if (now - tablesAt < Math.max(TABLES_MS, routers * TABLES_MS_A_ROUTER)) {
+    if (
+      now - tablesAt <
+      Math.max(MIN_TABLES_INTERVAL_MS, routers * TABLES_INTERVAL_PER_ROUTER_MS)
+    ) {
       return;
     }
     tablesAt = now;
     shared = {...shared, tables, tablesVersion};
   };
 
-  const takeList = (): void => {
+  const updateList = (): void => {
     const snapshot = list.snapshot();
     const listVersion = list.version();
     if (snapshot === null || listVersion === shared.listVersion) return;
     const {servers} = snapshot;
-    const listDigest = digestOf(servers);
+    const listDigest = digestServers(servers);
     shared = {...shared, servers, listVersion, listDigest};
   };
 
-  const takeConfig = (): void => {
+  const updateConfig = (): void => {
     const newest = config();
     if (newest?.version === shared.config?.version) return;
     shared = {...shared, config: newest};
   };
 
-  const takeSuspects = (): void => {
+  const updateSuspects = (): void => {
     const rows = cfg.suspects.rows();
     if (rows === suspectRows) return;
     suspectRows = rows;
@@ -211,15 +237,15 @@
     const suspects = rows.filter(
       row => isWorthTelling(row) || told.has(row.content),
     );
-    if (!isSameRows(suspects, shared.suspects)) shared = {...shared, suspects};
+    if (!hasSameRows(suspects, shared.suspects)) shared = {...shared, suspects};
   };
 
-  const takeLimits = (): void => {
+  const updateLimits = (): void => {
     const limits = cfg.limits.rows();
-    if (!isSameLimits(limits, shared.limits)) shared = {...shared, limits};
+    if (!hasSameLimits(limits, shared.limits)) shared = {...shared, limits};
   };
 
-  const takeDeputies = (candidates: readonly Candidate[]): void => {
+  const updateDeputies = (candidates: readonly Candidate[]): void => {
     const deputies = pickDeputies(candidates);
     const isKnown =
       deputies.length === shared.deputies.length &&
@@ -229,22 +255,25 @@
 
   return {
     current(candidates) {
-      takeDeputies(candidates);
-      takeTables(candidates.length + 1);
-      takeList();
-      takeConfig();
-      takeSuspects();
-      takeLimits();
+      updateDeputies(candidates);
+      updateTables(candidates.length + 1);
+      updateList();
+      updateConfig();
+      updateSuspects();
+      updateLimits();
       return shared;
     },
   };
 }
 
-function isSameRows(a: readonly Suspect[], b: readonly Suspect[]): boolean {
+function hasSameRows(a: readonly Suspect[], b: readonly Suspect[]): boolean {
   return a.length === b.length && a.every((row, at) => row === b[at]);
 }
 
-function isSameLimits(a: readonly LimitRow[], b: readonly LimitRow[]): boolean {
+function hasSameLimits(
+  a: readonly LimitRow[],
+  b: readonly LimitRow[],
+): boolean {
   if (a.length !== b.length) return false;
   return a.every(
     ([server, perSecond], at) =>
@@ -255,7 +284,7 @@
 const NO_LIMITS: readonly LimitRow[] = [];
 
 /** What a router knows that was told nothing. */
-const NOTHING_TOLD = {
+const NOTHING_KNOWN = {
   tables: new Map() as ServedTables,
   servers: null,
   config: null,
@@ -265,21 +294,24 @@
 } as const;
 
 /** What is told of all routers. */
-interface About {
+interface RouterTotals {
   readonly routers: number;
 }
 
 /** What a router knows; null where it was told nothing of it. */
-type Told = Pick<Shared, 'tables' | 'config' | 'suspects' | 'limits'> & {
-  readonly servers: Shared['servers'] | null;
-  readonly deputies: Shared['deputies'] | null;
+type KnownState = Pick<
+  SharedState,
+  'tables' | 'config' | 'suspects' | 'limits'
+> & {
+  readonly servers: SharedState['servers'] | null;
+  readonly deputies: SharedState['deputies'] | null;
 };
 
-function stateFor(
-  cfg: TellerConfig,
-  told: Told,
-  next: Shared,
-  about: About,
+function stateSince(
+  cfg: BroadcasterConfig,
+  told: KnownState,
+  next: SharedState,
+  about: RouterTotals,
 ): StateMessage {
   const {list, room} = cfg;
   const isNews = told.config !== next.config;
@@ -287,11 +319,11 @@
   const known = new Set(told.suspects);
   const suspects = next.suspects.filter(row => !known.has(row));
   return {
-    ...briefState(cfg, about),
+    ...heartbeatState(cfg, about),
     tables: diffTables(told.tables, next.tables),
     list: diffList(told.servers, next.servers),
     listCursor: list.snapshot()?.cursor ?? null,
-    config: isNews && fits(next.config, room, routers) ? next.config : null,
+    config: isNews && fitsLink(next.config, room, routers) ? next.config : null,
     deputies: told.deputies === next.deputies ? null : next.deputies,
     ...(suspects.length > 0 && {suspects}),
     ...(told.limits !== next.limits && {limits: next.limits}),
@@ -299,9 +331,15 @@
 }
 
 /** Shows that the leader is there, for one that was not told the rest yet. */
-function briefState(
-  {list, config, configCursor, configAgeMs, touchMs}: TellerConfig,
-  about: About,
+function heartbeatState(
+  {
+    list,
+    config,
+    configCursor,
+    configAgeMs,
+    contactAgeMs: touchMs,
+  }: BroadcasterConfig,
+  about: RouterTotals,
 ): StateMessage {
   return {
     ...{kind: 'state', tables: null, list: null, listCursor: null},
@@ -316,23 +354,23 @@
 }
 
 /** A message that is encoded once, where it is needed at all. */
-function encoded(message: () => StateMessage): () => EncodedMessage {
+function encodeLazily(message: () => StateMessage): () => EncodedMessage {
   let result: EncodedMessage | null = null;
   return () => (result ??= {bytes: encode(message())});
 }
 
 /** Bytes of whole states that the link carries between two heartbeats. */
-function wholeBytes({linkMbps}: Room): number {
-  return (linkMbps * 1_000 * HEARTBEAT_MS * WHOLE_SHARE) / 8;
+function fullStateBudget({linkMbps}: HostCapacity): number {
+  return (linkMbps * 1_000 * HEARTBEAT_MS * FULL_STATE_LINK_SHARE) / 8;
 }
 
 /** Whether the link carries the configuration to all routers in time. */
-function fits(
+function fitsLink(
   config: WireConfig | null,
-  {linkMbps}: Room,
+  {linkMbps}: HostCapacity,
   routers: number,
 ): boolean {
   if (config === null) return false;
   const bits = encode(config).length * 8 * routers;
-  return bits / 1_000 <= linkMbps * RELAY_MS;
+  return bits / 1_000 <= linkMbps * MAX_RELAY_MS;
 }
--- a/packages/gateway/src/link-config.ts
+++ b/packages/gateway/src/link-config.ts
@@ -16,7 +16,7 @@
 }
 
 /** The configuration as it travels. */
-export function packConfig(
+export function toWireConfig(
   {version, hosts, services, limits}: RoutingConfig,
   cursor: number,
 ): WireConfig {
@@ -28,7 +28,7 @@
 }
 
 /** The configuration as it came. */
-export function unpackConfig({
+export function fromWireConfig({
   version,
   hosts,
   services,
--- a/packages/gateway/src/link-messages.ts
+++ b/packages/gateway/src/link-messages.ts
@@ -17,7 +17,7 @@
   encodeFollower,
   encodeLeader,
 } from './link-codec.js';
-import type {Candidate} from './room.js';
+import type {Candidate} from './host-capacity.js';
 
 /** An ask as it travels: its router said once where it stands. */
 export type LinkAsk = Omit<PlaceAsk, 'dataCentre'>;
@@ -108,7 +108,7 @@
  * A leader that is silent for so long is left, in ms: requests that wait for
  * its answer still have time to be placed without it.
  */
-export const SILENCE_MS = 600;
+export const LEADER_TIMEOUT_MS = 600;
 
 /** A router that could lead asks one with more room to do it. */
 export interface Offer {
@@ -144,14 +144,14 @@
 } as const satisfies ServiceDefinition;
 
 /** Counts as they travel. */
-export function toPairs(counts: KeyCounts): WireCounts {
+export function toWireCounts(counts: KeyCounts): WireCounts {
   const pairs: Record<string, readonly number[]> = {};
   for (const [service, keys] of counts) pairs[service] = [...keys].flat();
   return pairs;
 }
 
 /** Counts as they came. */
-export function toCounts(counts: WireCounts): KeyCounts {
+export function fromWireCounts(counts: WireCounts): KeyCounts {
   const result = new Map<string, Map<number, number>>();
   for (const [service, pairs] of Object.entries(counts)) {
     const keys = new Map<number, number>();
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -13,22 +13,22 @@
 import {
   HEARTBEAT_MS,
   LINK_SERVICE,
-  toCounts,
+  fromWireCounts,
   type EncodedMessage,
   type FollowerMessage,
   type LeaderMessage,
   type OfferReply,
 } from './link-messages.js';
 import {
-  createListener,
-  createTeller,
-  type Listener,
-  type TellerConfig,
-} from './link-telling.js';
-import {pickRoomiest, type Candidate} from './room.js';
+  createSubscriber,
+  createStateBroadcaster,
+  type Subscriber,
+  type BroadcasterConfig,
+} from './link-broadcaster.js';
+import {pickLargestHost, type Candidate} from './host-capacity.js';
 
 /** What serving the other routers needs. */
-export interface LinkServerConfig extends TellerConfig {
+export interface LinkServerConfig extends BroadcasterConfig {
   /** `ip:port`. */
   readonly listen: string;
   readonly emit: Emit;
@@ -41,7 +41,7 @@
   /** A server reported to a follower that it is leaving. */
   noteLeaving(server: string): void;
   /** Another router asks this one to lead; whether it does then. */
-  onOffered(): Promise<boolean>;
+  onLeadershipOffered(): Promise<boolean>;
   /** A router asked for a place for the key. */
   noteRequest(service: string, key: number): void;
 }
@@ -58,30 +58,30 @@
  * places in use on it would never come back, and with them the servers' slots.
  * By the time that this takes, most requests there have come to their end.
  */
-const PING_MS = 2_000;
-const PING_WITHIN_MS = 1_500;
+const KEEPALIVE_MS = 2_000;
+const KEEPALIVE_TIMEOUT_MS = 1_500;
 
 type Stream = ServerDuplexStream<
   FollowerMessage,
   LeaderMessage | EncodedMessage
 >;
-type TakeBack = (how: PlaceEnd, tookMs: number) => void;
+type EndSlot = (how: PlaceEnd, tookMs: number) => void;
 
-interface Follower extends Listener {
+interface Follower extends Subscriber {
   readonly stream: Stream;
   /** Asks that wait and places that are in use, by number. */
-  readonly asks: Map<number, TakeBack>;
+  readonly asks: Map<number, EndSlot>;
   /** It was asked to lead, and has not begun. */
-  wasAsked: boolean;
+  wasOfferedLeadership: boolean;
   /** It leads now, by its own word. */
-  hasBegun: boolean;
+  hasStartedTerm: boolean;
 }
 
 /**
  * One that was asked to lead has this time for it, in ms, before another is
  * asked: two joins of its first exchange with a platform that is slow.
  */
-const MOVE_MS = 3_000;
+const OFFER_INTERVAL_MS = 3_000;
 
 /**
  * Serves the other routers while this one leads: places, and the state they
@@ -95,18 +95,18 @@
 export async function serveLinks(cfg: LinkServerConfig): Promise<LinkServer> {
   const followers = new Set<Follower>();
   const server = new Server({
-    'grpc.keepalive_time_ms': PING_MS,
-    'grpc.keepalive_timeout_ms': PING_WITHIN_MS,
+    'grpc.keepalive_time_ms': KEEPALIVE_MS,
+    'grpc.keepalive_timeout_ms': KEEPALIVE_TIMEOUT_MS,
   });
 
-  const teller = createTeller(cfg);
-  let askedAt = -Infinity;
+  const broadcaster = createStateBroadcaster(cfg);
+  let offeredAt = -Infinity;
 
-  const tellAll = (): void => {
+  const sendToAll = (): void => {
     if (cfg.leadership.isLeading()) {
-      return teller.tell(followers, followers);
+      return broadcaster.send(followers, followers);
     }
-    const next = [...followers].find(({hasBegun}) => hasBegun);
+    const next = [...followers].find(({hasStartedTerm: hasBegun}) => hasBegun);
     const leader = next?.candidate?.address ?? cfg.leader();
     for (const {stream} of followers) {
       stream.write({kind: 'elsewhere', leader});
@@ -114,40 +114,41 @@
     }
   };
 
-  const considerMove = (): void => {
+  const considerTransfer = (): void => {
     const now = cfg.clock.now();
-    if (!cfg.leadership.isLeading() || now - askedAt < MOVE_MS) return;
-    const next = pickRoomiest(cfg.room, candidatesOf(followers));
+    if (!cfg.leadership.isLeading() || now - offeredAt < OFFER_INTERVAL_MS)
+      return;
+    const next = pickLargestHost(cfg.room, candidatesOf(followers));
     if (next === null) return;
-    askedAt = now;
-    next.follower.wasAsked = true;
+    offeredAt = now;
+    next.follower.wasOfferedLeadership = true;
     cfg.emit('leading-offered', {to: next.address});
     next.follower.stream.write({kind: 'lead'});
   };
-  const ctx: TakeContext = {
+  const ctx: HandlerContext = {
     ...cfg,
-    greet(follower) {
-      teller.tell([follower], followers);
-      considerMove();
+    onHello(follower) {
+      broadcaster.send([follower], followers);
+      considerTransfer();
     },
   };
 
   cfg.leadership.subscribe(() => {
-    if (!cfg.leadership.isLeading()) tellAll();
+    if (!cfg.leadership.isLeading()) sendToAll();
   });
-  cfg.list.subscribe(tellAll);
+  cfg.list.subscribe(sendToAll);
   // A server that ends strikes all requests that it ran, by several routers.
-  const gathered = createGathered(cfg.clock, tellAll);
-  cfg.suspects.subscribe(() => gathered.later());
-  cfg.limits.subscribe(() => gathered.later());
+  const notifier = createGathered(cfg.clock, sendToAll);
+  cfg.suspects.subscribe(() => notifier.later());
+  cfg.limits.subscribe(() => notifier.later());
 
-  const beat = (): void => {
-    teller.beat(followers);
-    tellAll();
-    considerMove();
-    cancelBeat = cfg.clock.after(HEARTBEAT_MS, beat);
+  const sendHeartbeat = (): void => {
+    broadcaster.onHeartbeat(followers);
+    sendToAll();
+    considerTransfer();
+    cancelHeartbeat = cfg.clock.after(HEARTBEAT_MS, sendHeartbeat);
   };
-  let cancelBeat = cfg.clock.after(HEARTBEAT_MS, beat);
+  let cancelHeartbeat = cfg.clock.after(HEARTBEAT_MS, sendHeartbeat);
 
   const follow = (stream: Stream): void => {
     if (!cfg.leadership.isLeading()) {
@@ -155,8 +156,13 @@
       return void stream.end();
     }
     const follower: Follower = {
-      ...createListener(stream),
-      ...{stream, asks: new Map(), wasAsked: false, hasBegun: false},
+      ...createSubscriber(stream),
+      ...{
+        stream,
+        asks: new Map(),
+        wasOfferedLeadership: false,
+        hasStartedTerm: false,
+      },
     };
     followers.add(follower);
     const leave = (): void => {
@@ -164,9 +170,9 @@
       for (const takeBack of follower.asks.values()) takeBack('cancelled', 0);
       follower.asks.clear();
       // It stops following as it begins to lead.
-      if (follower.wasAsked) cfg.leadership.check();
+      if (follower.wasOfferedLeadership) cfg.leadership.checkTerm();
     };
-    stream.on('data', message => take(ctx, follower, message));
+    stream.on('data', message => handleMessage(ctx, follower, message));
     stream.on('end', () => {
       leave();
       stream.end();
@@ -177,7 +183,7 @@
   };
 
   const lead = (_call: unknown, reply: sendUnaryData<OfferReply>): void => {
-    void cfg.onOffered().then(leads => reply(null, {leads}));
+    void cfg.onLeadershipOffered().then(leads => reply(null, {leads}));
   };
 
   server.addService(LINK_SERVICE, {follow, lead});
@@ -190,7 +196,7 @@
   return {
     followers: () => followers.size,
     close() {
-      cancelBeat();
+      cancelHeartbeat();
       server.forceShutdown();
     },
   };
@@ -200,34 +206,34 @@
   followers: Iterable<Follower>,
 ): Iterable<Candidate & {readonly follower: Follower}> {
   for (const follower of followers) {
-    const {candidate, wasAsked} = follower;
+    const {candidate, wasOfferedLeadership: wasAsked} = follower;
     if (candidate !== null && !wasAsked) yield {...candidate, follower};
   }
 }
 
 /** What messages of routers are taken with. */
-interface TakeContext extends LinkServerConfig {
+interface HandlerContext extends LinkServerConfig {
   /** A router said who it is. */
-  greet(follower: Follower): void;
+  onHello(follower: Follower): void;
 }
 
-type Takers = {
+type MessageHandlers = {
   readonly [K in FollowerMessage['kind']]: (
-    ctx: TakeContext,
+    ctx: HandlerContext,
     follower: Follower,
     message: Extract<FollowerMessage, {kind: K}>,
   ) => void;
 };
 
-const TAKERS: Takers = {
-  hello({greet}, follower, {address, room, dataCentre, listDigest}) {
+const MESSAGE_HANDLERS: MessageHandlers = {
+  hello({onHello: greet}, follower, {address, room, dataCentre, listDigest}) {
     follower.candidate = {address, room, dataCentre};
     follower.listDigest = listDigest;
     greet(follower);
   },
   leading({leadership}, follower, {epoch}) {
-    follower.hasBegun = true;
-    leadership.noteTerm(epoch);
+    follower.hasStartedTerm = true;
+    leadership.observeTerm(epoch);
   },
   ask(cfg, {stream, asks, candidate}, {ask, place}) {
     if (!cfg.leadership.isLeading()) {
@@ -249,7 +255,7 @@
     asks.delete(ask);
   },
   counts(cfg, _follower, {counts}) {
-    cfg.leadership.takeCounts(toCounts(counts));
+    cfg.leadership.addRequestCounts(fromWireCounts(counts));
   },
   suspects(cfg, _follower, {rows}) {
     cfg.suspects.merge(rows);
@@ -265,11 +271,13 @@
   },
 };
 
-function take(
-  ctx: TakeContext,
+function handleMessage(
+  ctx: HandlerContext,
   follower: Follower,
   message: FollowerMessage,
 ): void {
-  const taker = TAKERS[message.kind] as Takers[FollowerMessage['kind']];
+  const taker = MESSAGE_HANDLERS[
+    message.kind
+  ] as MessageHandlers[FollowerMessage['kind']];
   taker(ctx, follower, message as never);
 }
--- a/packages/gateway/src/link-session.ts
+++ b/packages/gateway/src/link-session.ts
@@ -12,23 +12,23 @@
   type LeaderMessage,
   type StateMessage,
 } from './link-messages.js';
-import {unpackConfig} from './link-config.js';
+import {fromWireConfig} from './link-config.js';
 import {applyList, applyTables} from './link-state.js';
-import type {Candidate} from './room.js';
+import type {Candidate} from './host-capacity.js';
 import type {ServerList} from './server-list.js';
 
 /** What the leader's state changes in this router. */
-export interface Beliefs {
+export interface FollowerState {
   readonly owners: KeyOwners;
   readonly list: ServerList;
   readonly suspects: Suspects;
   readonly limits: ServerLimits;
-  noteConfigCursor(cursor: number): void;
-  takeConfig(config: RoutingConfig, cursor: number): void;
+  onConfigCursor(cursor: number): void;
+  applyConfig(config: RoutingConfig, cursor: number): void;
   /** Up to where this router knows the platform's configurations. */
   configCursor(): number | null;
   /** Routers at work, as the leader counts them. */
-  noteRouters(count: number): void;
+  setRouterCount(count: number): void;
 }
 
 /**
@@ -36,7 +36,7 @@
  * miss a version, in ms: a short waiting read and its answer. A version must be
  * in force 2 s after it was accepted, one read of this router's own included.
  */
-const RELAY_FRESH_MS = 1_200;
+const MAX_RELAY_AGE_MS = 1_200;
 
 /** A stream to a router that may lead. */
 export type LinkStream = ClientDuplexStream<FollowerMessage, LeaderMessage>;
@@ -52,14 +52,14 @@
   /** Rows of requests under which servers ended, by content. */
   readonly suspects: Map<string, Suspect>;
   /** Whether it told its whole state. */
-  isTold: boolean;
+  isSynced: boolean;
   heardAt: number;
   /** Whether it showed that it leads. */
   isLeader: boolean;
   /** Whom it named in its place. */
-  elsewhere: string | null;
+  redirect: string | null;
   deputies: readonly Candidate[];
-  touchMs: number;
+  leaderContactAgeMs: number;
   /** Whether its last state left nothing to read of the configuration. */
   relaysConfig: boolean;
   isOpen: boolean;
@@ -78,12 +78,12 @@
     tables: new Map(),
     servers: [],
     suspects: new Map(),
-    isTold: false,
+    isSynced: false,
     heardAt: now,
     isLeader: false,
-    elsewhere: null,
+    redirect: null,
     deputies: [],
-    touchMs: 0,
+    leaderContactAgeMs: 0,
     relaysConfig: false,
     isOpen: true,
   };
@@ -104,7 +104,7 @@
 }
 
 /** What this router knows of suspected requests, and the leader did not tell. */
-export function untoldSuspects(
+export function suspectsUnknownToLeader(
   {suspects}: Session,
   rows: readonly Suspect[],
 ): readonly Suspect[] {
@@ -115,7 +115,7 @@
 }
 
 /** Servers known here to be leaving that the leader did not list as such. */
-export function untoldLeaving(
+export function leavingUnknownToLeader(
   {servers}: Session,
   list: ServerList,
 ): readonly string[] {
@@ -139,14 +139,14 @@
 }
 
 /** Takes what the other end of the stream told. */
-export function takeMessage(
-  cfg: Beliefs,
+export function handleMessage(
+  cfg: FollowerState,
   session: Session,
   message: Exclude<LeaderMessage, {kind: 'lead'}>,
 ): void {
-  if (message.kind === 'state') return takeState(cfg, session, message);
+  if (message.kind === 'state') return applyState(cfg, session, message);
   if (message.kind === 'elsewhere') {
-    session.elsewhere = message.leader;
+    session.redirect = message.leader;
     return;
   }
   const settle = session.pending.get(message.ask);
@@ -158,13 +158,17 @@
   }
 }
 
-function takeState(cfg: Beliefs, session: Session, state: StateMessage): void {
+function applyState(
+  cfg: FollowerState,
+  session: Session,
+  state: StateMessage,
+): void {
   session.isLeader = true;
-  session.touchMs = state.touchMs;
+  session.leaderContactAgeMs = state.touchMs;
   session.deputies = state.deputies ?? session.deputies;
   if (state.tables !== null) {
     session.tables = applyTables(session.tables, state.tables);
-    cfg.owners.takeTables(session.tables);
+    cfg.owners.replaceTables(session.tables);
   }
   if (state.list !== null) {
     session.servers = applyList(session.servers, state.list);
@@ -172,10 +176,10 @@
   const {servers} = session;
   const {listCursor, configCursor} = state;
   if (listCursor !== null) {
-    session.isTold = true;
+    session.isSynced = true;
     // The state was on its way for less than a heartbeat, or it would be late.
     const ageMs = state.listAgeMs + HEARTBEAT_MS;
-    cfg.list.takeSnapshot({cursor: listCursor, servers}, ageMs);
+    cfg.list.applySnapshot({cursor: listCursor, servers}, ageMs);
   }
   if (state.suspects !== undefined) {
     for (const row of state.suspects) session.suspects.set(row.content, row);
@@ -183,12 +187,12 @@
   }
   if (state.limits !== undefined) cfg.limits.mergeFromLeader(state.limits);
   if (state.config !== null) {
-    cfg.takeConfig(unpackConfig(state.config), state.config.cursor);
+    cfg.applyConfig(fromWireConfig(state.config), state.config.cursor);
   }
-  if (configCursor !== null) cfg.noteConfigCursor(configCursor);
+  if (configCursor !== null) cfg.onConfigCursor(configCursor);
   session.relaysConfig =
-    state.configAgeMs < RELAY_FRESH_MS &&
+    state.configAgeMs < MAX_RELAY_AGE_MS &&
     // A leader that finds no configuration leaves none to read.
     (configCursor === null || (cfg.configCursor() ?? -1) >= configCursor);
-  cfg.noteRouters(state.routers);
+  cfg.setRouterCount(state.routers);
 }
--- a/packages/gateway/src/link-state.ts
+++ b/packages/gateway/src/link-state.ts
@@ -59,8 +59,8 @@
   if (before === now) return null;
   const delta: Record<string, readonly RangeRow[]> = {};
   for (const [service, ranges] of now) {
-    const known = new Set(before.get(service)?.map(nameOf));
-    const changed = ranges.filter(range => !known.has(nameOf(range)));
+    const known = new Set(before.get(service)?.map(rangeId));
+    const changed = ranges.filter(range => !known.has(rangeId(range)));
     if (changed.length > 0) delta[service] = changed.map(toRow);
   }
   return Object.keys(delta).length === 0 ? null : delta;
@@ -91,7 +91,7 @@
   return {from, to, server};
 }
 
-function nameOf({from, to, server}: ServedRange): string {
+function rangeId({from, to, server}: ServedRange): string {
   return `${from}-${to}-${server}`;
 }
 
@@ -99,7 +99,7 @@
  * The same for lists that hold the same entries: two routers that read the
  * platform's list at different times mostly know the same servers.
  */
-export function digestOf(servers: readonly ServerInfo[]): string {
+export function digestServers(servers: readonly ServerInfo[]): string {
   const lines = servers.map(
     ({id, service, address, slots, isLeaving}) =>
       `${id} ${service} ${address} ${slots} ${isLeaving}`,
--- a/packages/gateway/src/local-places.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -4,7 +4,7 @@
 import type {Leadership} from './leadership.js';
 
 /** Who hands out places to this router's own requests. */
-export interface LocalPlacesConfig {
+export interface LocalSlotProviderConfig {
   readonly leadership: Leadership;
   readonly issuer: PlaceIssuer;
   readonly owners: KeyOwners;
@@ -20,7 +20,7 @@
  * const places = createLocalPlaces({leadership, issuer, owners, link});
  * ```
  */
-export function createLocalPlaces(cfg: LocalPlacesConfig): Places {
+export function createLocalSlotProvider(cfg: LocalSlotProviderConfig): Places {
   const {leadership, issuer, owners, link} = cfg;
   return {
     acquire(ask, signal) {
--- a/packages/gateway/src/membership.ts
+++ b/packages/gateway/src/membership.ts
@@ -4,13 +4,13 @@
 import {repeat} from './repeat.js';
 
 /** Who the routers are, as the platform tells. */
-export interface Routers {
+export interface RouterGroup {
   /** The name of the router that was chosen to lead; null if unknown. */
   chosen(): string | null;
   /** Whether this one is, by an answer that still counts. */
   isChosen(): boolean;
   /** Time since the question that the platform answered last, in ms. */
-  touchMs(): number;
+  contactAgeMs(): number;
   /** Routers in touch with the platform, this one included. */
   count(): number;
   /**
@@ -21,12 +21,12 @@
 }
 
 /** What following the membership needs. */
-export interface RoutersConfig {
+export interface RouterGroupConfig {
   readonly members: Members;
   readonly clock: Clock;
   readonly emit: Emit;
   /** Time that also passes while the host is suspended, in ms. */
-  wakefulNow(): number;
+  suspendAwareNow(): number;
   /** The platform answered whether this router is chosen. */
   onJoined(): void;
   /**
@@ -34,25 +34,25 @@
    * and a list at each change, at each router, was 324 of 1,046 calls on a
    * day of rolling restarts.
    */
-  hearsLeader(): boolean;
+  followsLeader(): boolean;
   /**
    * Whether others stand ready to lead while the leader works: then this one
    * doesn't show itself, which cost three calls a second for each router.
    */
-  isSpared(): boolean;
+  maySkipJoin(): boolean;
   /** Another router was chosen in place of this one. */
   onReplaced(): void;
 }
 
 /** A router shows that it's there this often, in ms. */
-const JOIN_MS = 350;
+const JOIN_INTERVAL_MS = 350;
 /** An answer counts for this time, in ms: until the next two should be there. */
-const CHOSEN_MS = 1_000;
+const CHOSEN_TTL_MS = 1_000;
 /**
  * Routers are listed this often at the most where the leader is unknown, in ms:
  * while many of them come at once, each of their joins is news to all.
  */
-const LIST_MS = 700;
+const MIN_LIST_INTERVAL_MS = 700;
 
 /**
  * Takes part in the group of routers until it leaves.
@@ -63,20 +63,20 @@
  * routers.leader();
  * ```
  */
-export function followRouters(cfg: RoutersConfig): Routers {
+export function joinRouterGroup(cfg: RouterGroupConfig): RouterGroup {
   const {members, clock, emit} = cfg;
   let names: readonly string[] = [];
   let generation = -1;
   let listedAt = -Infinity;
   let isLeaving = false;
-  let isInTouch = true;
+  let isConnected = true;
   let isChosen = false;
   let answeredAt = -Infinity;
 
-  const noteTouch = (membership: Membership | null): void => {
+  const recordContact = (membership: Membership | null): void => {
     const now = membership !== null;
-    if (now === isInTouch) return;
-    isInTouch = now;
+    if (now === isConnected) return;
+    isConnected = now;
     emit(now ? 'store-regained' : 'store-lost', {dependency: 'members'});
   };
 
@@ -93,35 +93,37 @@
   };
 
   const join = async (): Promise<void> => {
-    if (cfg.isSpared()) return;
-    const askedAt = cfg.wakefulNow();
+    if (cfg.maySkipJoin()) return;
+    const askedAt = cfg.suspendAwareNow();
     const membership = await members.join();
-    noteTouch(membership);
+    recordContact(membership);
     if (membership === null || isLeaving) return;
     if (isChosen && !membership.isChosen) cfg.onReplaced();
     isChosen = membership.isChosen;
     answeredAt = askedAt;
     cfg.onJoined();
-    if (cfg.hearsLeader()) return;
-    if (clock.now() - listedAt < LIST_MS) return;
+    if (cfg.followsLeader()) return;
+    if (clock.now() - listedAt < MIN_LIST_INTERVAL_MS) return;
     if (membership.generation === generation && names.length > 0) return;
     generation = membership.generation;
     await list();
   };
 
   const goesOn = (): boolean => !isLeaving;
-  repeat({clock, emit, name: 'members', ms: JOIN_MS, goesOn}, join);
+  repeat({clock, emit, name: 'members', ms: JOIN_INTERVAL_MS, goesOn}, join);
 
   return {
     chosen: () => names[0] ?? null,
     isChosen: () =>
-      isChosen && !isLeaving && cfg.wakefulNow() - answeredAt < CHOSEN_MS,
-    touchMs: () => cfg.wakefulNow() - answeredAt,
+      isChosen &&
+      !isLeaving &&
+      cfg.suspendAwareNow() - answeredAt < CHOSEN_TTL_MS,
+    contactAgeMs: () => cfg.suspendAwareNow() - answeredAt,
     count: () => Math.max(1, names.length),
     async leave(goesOn) {
       isLeaving = true;
       while (goesOn() && !(await members.leave())) {
-        await sleep(clock, JOIN_MS);
+        await sleep(clock, JOIN_INTERVAL_MS);
       }
     },
   };
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -1,7 +1,7 @@
 import {createServer, type Server} from 'node:http';
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import type {RequestOutcome} from './entry.js';
-import type {ServePage} from './quarantine-page.js';
+import type {PageHandler} from './quarantine-page.js';
 
 /** What the process tells of itself when it is asked. */
 export interface MetricsSource {
@@ -50,7 +50,7 @@
  */
 export function createMetrics(
   source: MetricsSource,
-  servePage: ServePage,
+  servePage: PageHandler,
 ): Metrics {
   const registry = new Registry();
   const registers = [registry];
--- a/packages/gateway/src/quarantine-page.ts
+++ b/packages/gateway/src/quarantine-page.ts
@@ -9,7 +9,10 @@
 import {readBody} from './read-body.js';
 
 /** Answers a request of an operator's; false where it isn't one. */
-export type ServePage = (req: IncomingMessage, res: ServerResponse) => boolean;
+export type PageHandler = (
+  req: IncomingMessage,
+  res: ServerResponse,
+) => boolean;
 
 /** An operator's answer: a status and what is told. */
 interface Answer {
@@ -24,7 +27,7 @@
 }
 
 const MAX_BODY_BYTES = 4_096;
-const MAX_REASON = 500;
+const MAX_REASON_LENGTH = 500;
 
 /**
  * Shows operators which requests are suspected or quarantined, and lets them
@@ -41,7 +44,7 @@
 export function createQuarantinePage(
   suspects: Suspects,
   tokens: readonly OperatorToken[],
-): ServePage {
+): PageHandler {
   const authenticate = createAuthenticate(tokens);
   const handlers: Readonly<Record<string, Handler>> = {
     'GET /quarantine': {
@@ -84,23 +87,25 @@
 ): Promise<Answer> {
   const body = await readBody(req, MAX_BODY_BYTES);
   if (body.kind !== 'read') return problem(413, 'the body is too large');
-  const asked = parse(body.bytes);
+  const asked = parseClearRequest(body.bytes);
   if (asked === null) return problem(400, 'content and reason are needed');
   const isCleared = suspects.clear(asked.content, operator, asked.reason);
   if (!isCleared) return problem(404, 'no such request is quarantined');
   return {status: 200, body: {cleared: asked.content}};
 }
 
-interface Asked {
+interface ClearRequest {
   readonly content: string;
   readonly reason: string;
 }
 
-function parse(bytes: Buffer | null): Asked | null {
+function parseClearRequest(bytes: Buffer | null): ClearRequest | null {
   try {
-    const {content, reason} = JSON.parse(String(bytes)) as Partial<Asked>;
+    const {content, reason} = JSON.parse(
+      String(bytes),
+    ) as Partial<ClearRequest>;
     if (typeof content !== 'string' || typeof reason !== 'string') return null;
-    const isReason = reason.trim() !== '' && reason.length <= MAX_REASON;
+    const isReason = reason.trim() !== '' && reason.length <= MAX_REASON_LENGTH;
     return isReason ? {content, reason} : null;
   } catch {
     return null;
--- a/packages/gateway/src/router-count.ts
+++ b/packages/gateway/src/router-count.ts
@@ -3,7 +3,7 @@
 /** How many routers share what is allowed to all of them together. */
 export interface RouterCount {
   /** So many are at work, by one who counts them. */
-  note(count: number): void;
+  record(count: number): void;
   /** The most that were at work lately; 1 at least. */
   current(): number;
 }
@@ -14,7 +14,7 @@
  * and connections would grow while the others go on using theirs. The window
  * of the retry budget in the deployments known.
  */
-const MEMORY_MS = 10_000;
+const WINDOW_MS = 10_000;
 
 /**
  * Keeps the largest count of the last times.
@@ -26,26 +26,26 @@
  * ```
  */
 export function createRouterCount(clock: Clock): RouterCount {
-  let since = clock.now();
-  let before = 1;
-  let most = 1;
+  let windowStart = clock.now();
+  let previousMax = 1;
+  let currentMax = 1;
 
-  const roll = (): void => {
-    const age = clock.now() - since;
-    if (age < MEMORY_MS) return;
-    before = age < 2 * MEMORY_MS ? most : 1;
-    most = 1;
-    since = clock.now();
+  const rotateWindow = (): void => {
+    const age = clock.now() - windowStart;
+    if (age < WINDOW_MS) return;
+    previousMax = age < 2 * WINDOW_MS ? currentMax : 1;
+    currentMax = 1;
+    windowStart = clock.now();
   };
 
   return {
-    note(count) {
-      roll();
-      most = Math.max(most, count);
+    record(count) {
+      rotateWindow();
+      currentMax = Math.max(currentMax, count);
     },
     current() {
-      roll();
-      return Math.max(before, most);
+      rotateWindow();
+      return Math.max(previousMax, currentMax);
     },
   };
 }
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -19,19 +19,19 @@
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
 import {createTiming} from '@banyandrum/ranges/timing.js';
 import {createSplitter} from '@banyandrum/routing/split.js';
-import {keepConfig} from './config-keeper.js';
+import {createConfigKeeper} from './config-keeper.js';
 import {createEntry} from './entry.js';
 import type {EventLog} from './event-log.js';
 import {isFollowing, keepUp} from './keep-up.js';
 import {createKeyOwners, type ServedTables} from './key-owners.js';
 import {createLeadership} from './leadership.js';
-import {ledServers} from './led-servers.js';
+import {listAssignableServers} from './assignable-servers.js';
 import {limitConnections} from './limit-connections.js';
 import {followLeader} from './link-client.js';
 import {serveLinks} from './link-server.js';
 import {listenAt} from './listen.js';
-import {createLocalPlaces} from './local-places.js';
-import {followRouters} from './membership.js';
+import {createLocalSlotProvider} from './local-slot-provider.js';
+import {joinRouterGroup} from './membership.js';
 import {watchLag} from './loop-lag.js';
 import {createMetrics, type MetricsSource} from './metrics.js';
 import type {Platform} from './platform.js';
@@ -42,7 +42,7 @@
 import type {Settings} from './settings.js';
 import {shareSuspects} from './share-suspects.js';
 import {stopRouter} from './stop-router.js';
-import {createSuccession} from './succession.js';
+import {createLeaderElection} from './leader-election.js';
 import {watchVitals} from './vitals.js';
 import {wakefulTime} from './wakeful-clock.js';
 
@@ -120,31 +120,31 @@
   const leadership = createLeadership({
     platform,
     clock,
-    wakefulNow,
+    suspendAwareNow: wakefulNow,
     emit,
     boot,
     address: settings.listen.peers,
     keyedServices,
     timing: createTiming(settings.servers.holdMaxMs),
-    serversOf: service => ledServers(led, service),
+    serversOf: service => listAssignableServers(led, service),
     hasEnded,
-    isListSettled: () => list.settledMs() >= SETTLE_MS,
+    isListSettled: () => list.sinceNewServerMs() >= SETTLE_MS,
     waitingKeys: service => issuer.waitingKeys(service),
     isFirstStart: settings.platform.isFirstStart,
   });
-  const routers = followRouters({
+  const routers = joinRouterGroup({
     members: platform.members(self),
     clock,
-    wakefulNow,
+    suspendAwareNow: wakefulNow,
     emit,
-    onJoined: () => void succession.consider(),
-    onReplaced: () => leadership.check(),
-    isSpared: () => !leadership.isLeading() && link.sparesSelf(),
-    hearsLeader: () => leadership.isLeading() || link.leader() !== null,
+    onJoined: () => void succession.runIfNeeded(),
+    onReplaced: () => leadership.checkTerm(),
+    maySkipJoin: () => !leadership.isLeading() && link.hasOtherDeputies(),
+    followsLeader: () => leadership.isLeading() || link.leader() !== null,
   });
   const routerCount = createRouterCount(clock);
   const countRouters = (): number => {
-    routerCount.note(routers.count());
+    routerCount.record(routers.count());
     return routerCount.current();
   };
   const shareConnections = (): void => {
@@ -157,7 +157,7 @@
     return name === null || name === self ? null : addressOf(name);
   };
   const takeOffer = async (): Promise<boolean> =>
-    !isStopping && (await leadership.begin());
+    !isStopping && (await leadership.startTerm());
   const link = followLeader({
     clock,
     emit,
@@ -165,30 +165,30 @@
     list,
     suspects,
     limits,
-    chosen: chosenAddress,
+    chosenAddress: chosenAddress,
     isLeading: () => leadership.isLeading(),
     self: {address: settings.listen.peers, ...settings.host},
-    onOffered: () => void takeOffer(),
-    onLost: () => void succession.consider(),
+    onLeadershipOffered: () => void takeOffer(),
+    onLeaderLost: () => void succession.runIfNeeded(),
     epoch: () => leadership.epoch(),
-    noteConfigCursor: cursor => keeper.noteCursor(cursor),
-    takeConfig: (config, cursor) => keeper.takeRelayed(config, cursor),
+    onConfigCursor: cursor => keeper.onCursorAnnounced(cursor),
+    applyConfig: (config, cursor) => keeper.applyRelayed(config, cursor),
     configCursor: () => keeper.cursor(),
-    noteRouters: routerCount.note,
+    setRouterCount: routerCount.record,
   });
-  const succession = createSuccession({
+  const succession = createLeaderElection({
     emit,
     self: settings.listen.peers,
     isChosen: () => routers.isChosen(),
     isLeading: () => leadership.isLeading(),
-    restoredMs: () => clock.now() - restoredAt,
-    heardLeaderTouchMs: () => link.leaderTouchMs(),
+    sinceRestoreMs: () => clock.now() - restoredAt,
+    leaderContactAgeMs: () => link.leaderContactAgeMs(),
     lastLeader: () => platform.ledger.lastLeader(),
-    reach: link.reach,
+    followAt: link.followAt,
     deputies: () => link.deputies(),
     room: settings.host.room,
-    offer: link.offer,
-    begin: takeOffer,
+    offerLeadership: link.offerLeadership,
+    startTerm: takeOffer,
   });
   const issuer = createPlaceIssuer({
     backends,
@@ -200,7 +200,7 @@
   });
   const noteLeaving = (server: string): void => {
     if (!list.noteLeaving(server) || leadership.isLeading()) return;
-    link.tellLeaving(server);
+    link.reportLeaving(server);
   };
   platform.subscribeOrderOutcomes(outcome => {
     noteLimit(limits, platform.names, outcome);
@@ -208,9 +208,9 @@
     if (reportsLeaving(platform.names, outcome)) noteLeaving(outcome.server);
   });
   limits.subscribe((row, isOwn) => {
-    if (isOwn && !leadership.isLeading()) link.tellLimits([row]);
+    if (isOwn && !leadership.isLeading()) link.reportLimits([row]);
   });
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     platform,
     clock,
     emit,
@@ -260,10 +260,10 @@
         noteReplaced(server) {
           owners.noteReplaced(server);
           ends.noteReplaced(server);
-          link.noteReplaced(server);
+          link.reportReplaced(server);
         },
       },
-      places: createLocalPlaces({leadership, issuer, owners, link}),
+      places: createLocalSlotProvider({leadership, issuer, owners, link}),
       dataCentre: settings.host.dataCentre,
       budget: createRetryBudget(settings.retries, countRouters),
       quarantine: createQuarantine(suspects, ends),
@@ -288,7 +288,7 @@
   leadership.subscribe(() => {
     const tables = leadership.tables();
     if (tables === null) return issuer.close();
-    owners.takeTables(tables);
+    owners.replaceTables(tables);
     issuer.review();
   });
   list.subscribe(() => issuer.review());
@@ -299,21 +299,21 @@
     clock,
     emit,
     room: settings.host.room,
-    onOffered: () => succession.answer(),
+    onLeadershipOffered: () => succession.handleOffer(),
     leadership,
     issuer,
     list,
     suspects,
     limits,
-    configCursor: () => keeper.toldCursor(),
-    config: () => keeper.packed(),
+    configCursor: () => keeper.announcedCursor(),
+    config: () => keeper.wireConfig(),
     configAgeMs: () => keeper.ageMs(),
     leader: () => link.leader(),
     // One that leaves is to be followed by whoever is chosen now.
-    touchMs: () =>
+    contactAgeMs: () =>
       isStopping
         ? LEAVING_TOUCH_MS
-        : Math.min(routers.touchMs(), leadership.touchMs()),
+        : Math.min(routers.contactAgeMs(), leadership.confirmationAgeMs()),
     noteReplaced: server => owners.noteReplaced(server),
     noteLeaving,
     noteRequest: (service, key) => owners.noteRequest(service, key),
@@ -345,8 +345,8 @@
     keyedServices,
     shareConnections,
     takeOwn() {
-      routerCount.note(links.followers() + 1);
-      leadership.takeCounts(owners.drainCounts());
+      routerCount.record(links.followers() + 1);
+      leadership.addRequestCounts(owners.drainCounts());
       times.add(drainTimes(backends, keeper.current()?.services.keys() ?? []));
     },
   });
--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -13,9 +13,9 @@
 /** The newest list of backend servers that this router knows. */
 export interface ServerList {
   /** Takes a read of the platform's own list. */
-  take(read: ListRead): void;
+  applyRead(read: ListRead): void;
   /** Takes another router's list, where it is newer. */
-  takeSnapshot(snapshot: ListSnapshot, ageMs: number): void;
+  applySnapshot(snapshot: ListSnapshot, ageMs: number): void;
   snapshot(): ListSnapshot | null;
   /**
    * Marks a run as leaving for the rest of its lifetime, regardless of later
@@ -27,7 +27,7 @@
   /** Where the next read goes on; null: it takes the whole list. */
   cursor(): number | null;
   /** Time since a server came that was never listed before, in ms. */
-  settledMs(): number;
+  sinceNewServerMs(): number;
   /** Time since the platform confirmed this list, in ms. */
   ageMs(): number;
   has(id: string): boolean;
@@ -42,13 +42,13 @@
  * does. In ms, at the most; it must also end soon after the time by which a
  * server that is really gone must have no request any more.
  */
-const RETURN_MS = 2_200;
-const RETURN_MARGIN_MS = 200;
+const MAX_REMOVAL_GRACE_MS = 2_200;
+const REMOVAL_GRACE_MARGIN_MS = 200;
 /**
  * Runs of servers that are remembered, to tell that one took another's place:
  * some weeks of restarts at the size designed for, in about 1 MB.
  */
-const MAX_SEEN = 10_000;
+const MAX_REMEMBERED_INSTANCES = 10_000;
 
 /**
  * Keeps the list.
@@ -64,26 +64,29 @@
   emit: Emit,
   leaveWithinMs: number,
 ): ServerList {
-  const returnMs = Math.min(RETURN_MS, leaveWithinMs + RETURN_MARGIN_MS);
+  const removalGraceMs = Math.min(
+    MAX_REMOVAL_GRACE_MS,
+    leaveWithinMs + REMOVAL_GRACE_MARGIN_MS,
+  );
   const servers = new Map<string, ServerInfo>();
   /** The newest run under each name that has a run listed. */
-  const runs = new Map<string, string>();
+  const instances = new Map<string, string>();
   /** Address and order of first sight of each server ever listed. */
   const seen = new Map<string, {address: string; order: number}>();
-  const removals = new Set<string>();
+  const pendingRemovals = new Set<string>();
   /** Servers that a restored list lacks, until they had time to register. */
-  const unregistered = new Set<string>();
+  const awaitingRegistration = new Set<string>();
   /** Runs that were ever reported as leaving; none of them comes back. */
-  const leavingRuns = new Set<string>();
+  const leavingInstances = new Set<string>();
   const listeners = new Set<() => void>();
   let cursor: number | null = null;
   let version = 0;
   let confirmedAt = -Infinity;
-  let troubleAt = -Infinity;
+  let lastFailureAt = -Infinity;
   let restoredAt = -Infinity;
-  let grewAt = clock.now();
+  let lastNewServerAt = clock.now();
 
-  const changed = (): void => {
+  const notifyChanged = (): void => {
     version++;
     listeners.forEach(listener => listener());
   };
@@ -96,14 +99,15 @@
     }
   };
 
-  const noteLeavingRun = (id: string): void => {
-    leavingRuns.add(id);
-    if (leavingRuns.size > MAX_SEEN) leavingRuns.delete([...leavingRuns][0]!);
+  const rememberLeavingInstance = (id: string): void => {
+    leavingInstances.add(id);
+    if (leavingInstances.size > MAX_REMEMBERED_INSTANCES)
+      leavingInstances.delete([...leavingInstances][0]!);
   };
 
   /** Returns whether the list changed. */
   const markLeaving = (id: string): boolean => {
-    noteLeavingRun(id);
+    rememberLeavingInstance(id);
     const known = servers.get(id);
     if (known === undefined || known.isLeaving) return false;
     servers.set(id, {...known, isLeaving: true});
@@ -114,32 +118,32 @@
   /** Other routers may learn it before the platform's list shows it. */
   const markListedLeaving = (listed: readonly ServerInfo[]): boolean => {
     const newlyLeaving = listed.filter(
-      ({id, isLeaving}) => isLeaving && !leavingRuns.has(id),
+      ({id, isLeaving}) => isLeaving && !leavingInstances.has(id),
     );
     return newlyLeaving.map(({id}) => markLeaving(id)).includes(true);
   };
 
-  const put = (entry: ServerInfo): boolean => {
-    unregistered.delete(entry.id);
-    if (entry.isLeaving) noteLeavingRun(entry.id);
-    const server = leavingRuns.has(entry.id)
+  const upsert = (entry: ServerInfo): boolean => {
+    awaitingRegistration.delete(entry.id);
+    if (entry.isLeaving) rememberLeavingInstance(entry.id);
+    const server = leavingInstances.has(entry.id)
       ? {...entry, isLeaving: true}
       : entry;
-    const last = runs.get(nameOfRun(server.id));
+    const last = instances.get(nameOfRun(server.id));
     if (last !== undefined && last !== server.id) {
       // What an earlier run said may come later, from another router.
-      if (isEarlier(server.id, last)) return false;
+      if (isEarlierInstance(server.id, last)) return false;
       emit('server-reborn', {server: server.id, before: last});
       remove(last);
     }
-    runs.set(nameOfRun(server.id), server.id);
-    if (removals.delete(server.id)) version++;
+    instances.set(nameOfRun(server.id), server.id);
+    if (pendingRemovals.delete(server.id)) version++;
     const known = servers.get(server.id);
     servers.set(server.id, server);
     if (!seen.has(server.id)) {
       seen.set(server.id, {address: server.address, order: version});
-      grewAt = clock.now();
-      if (seen.size > MAX_SEEN) forgetOldest();
+      lastNewServerAt = clock.now();
+      if (seen.size > MAX_REMEMBERED_INSTANCES) forgetOldest();
     }
     if (known !== undefined && isSameServer(known, server)) return false;
     const {id, service, address, isLeaving, coldMs} = server;
@@ -149,38 +153,38 @@
 
   const remove = (id: string): boolean => {
     if (!servers.delete(id)) return false;
-    removals.delete(id);
-    if (runs.get(nameOfRun(id)) === id) runs.delete(nameOfRun(id));
+    pendingRemovals.delete(id);
+    if (instances.get(nameOfRun(id)) === id) instances.delete(nameOfRun(id));
     emit('server-removed', {server: id, cursor});
     return true;
   };
 
-  const expire = (id: string): boolean => {
+  const removeAfterGrace = (id: string): boolean => {
     if (!servers.has(id)) return false;
-    unregistered.delete(id);
-    if (clock.now() - troubleAt > returnMs) return remove(id);
+    awaitingRegistration.delete(id);
+    if (clock.now() - lastFailureAt > removalGraceMs) return remove(id);
     // Others are told of it by the version: with an older one they would take
     // the cursor that lies behind the removal, and keep the server for good.
-    if (!removals.has(id)) version++;
-    removals.add(id);
+    if (!pendingRemovals.has(id)) version++;
+    pendingRemovals.add(id);
     return false;
   };
 
   /** What can't be read says nothing of whether the server is there. */
-  const tellUnreadable = (server: string, detail: string): boolean => {
+  const reportUnreadable = (server: string, detail: string): boolean => {
     emit('server-unreadable', {server, detail});
     return false;
   };
 
   const apply = (change: ListChange): boolean => {
-    if (change.kind === 'listed') return put(change.server);
+    if (change.kind === 'listed') return upsert(change.server);
     if (change.kind === 'removed') {
-      return expire(runs.get(nameOfRun(change.id)) ?? change.id);
+      return removeAfterGrace(instances.get(nameOfRun(change.id)) ?? change.id);
     }
-    return tellUnreadable(change.id, change.detail);
+    return reportUnreadable(change.id, change.detail);
   };
 
-  const applyWhole = (
+  const applyWholeList = (
     changes: readonly ListChange[],
     isRestored: boolean,
   ): boolean => {
@@ -190,47 +194,47 @@
       if (change.kind === 'unreadable') listed.add(nameOfRun(change.id));
     }
     const gone = [...servers.keys()].filter(id => !listed.has(nameOfRun(id)));
-    if (isRestored) gone.forEach(id => unregistered.add(id));
-    const expired = gone.filter(id => !unregistered.has(id));
-    const results = [...changes.map(apply), ...expired.map(expire)];
+    if (isRestored) gone.forEach(id => awaitingRegistration.add(id));
+    const expired = gone.filter(id => !awaitingRegistration.has(id));
+    const results = [...changes.map(apply), ...expired.map(removeAfterGrace)];
     return results.includes(true);
   };
 
-  const expireUnregistered = (): boolean => {
-    if (clock.now() - restoredAt <= returnMs) return false;
-    return [...unregistered].map(expire).includes(true);
+  const removeUnregistered = (): boolean => {
+    if (clock.now() - restoredAt <= removalGraceMs) return false;
+    return [...awaitingRegistration].map(removeAfterGrace).includes(true);
   };
 
-  const applyDue = (): boolean => {
-    if (clock.now() - troubleAt <= returnMs) return false;
-    const due = [...removals];
-    removals.clear();
+  const applyDueRemovals = (): boolean => {
+    if (clock.now() - lastFailureAt <= removalGraceMs) return false;
+    const due = [...pendingRemovals];
+    pendingRemovals.clear();
     return due.map(remove).includes(true);
   };
 
   return {
-    take(read) {
+    applyRead(read) {
       if (read.kind === 'failed') {
-        troubleAt = clock.now();
+        lastFailureAt = clock.now();
         return;
       }
       const {isRestored = false} = read;
       if (isRestored) restoredAt = clock.now();
       const results = [
         read.isWhole
-          ? applyWhole(read.changes, isRestored)
+          ? applyWholeList(read.changes, isRestored)
           : read.changes.map(apply).includes(true),
-        expireUnregistered(),
-        applyDue(),
+        removeUnregistered(),
+        applyDueRemovals(),
       ];
       cursor = read.cursor;
       confirmedAt = clock.now();
-      if (results.includes(true)) changed();
+      if (results.includes(true)) notifyChanged();
     },
-    takeSnapshot(snapshot, ageMs) {
+    applySnapshot(snapshot, ageMs) {
       const hasNewLeaving = markListedLeaving(snapshot.servers);
       if (cursor !== null && snapshot.cursor < cursor) {
-        if (hasNewLeaving) changed();
+        if (hasNewLeaving) notifyChanged();
         return;
       }
       confirmedAt = Math.max(confirmedAt, clock.now() - ageMs);
@@ -238,10 +242,10 @@
       cursor = snapshot.cursor;
       const results = [
         hasNewLeaving,
-        isNewer && applyWhole(snapshot.servers.map(toListed), false),
-        applyDue(),
+        isNewer && applyWholeList(snapshot.servers.map(toListed), false),
+        applyDueRemovals(),
       ];
-      if (results.includes(true)) changed();
+      if (results.includes(true)) notifyChanged();
     },
     snapshot: () =>
       cursor === null
@@ -250,18 +254,20 @@
             cursor,
             // What was removed is no news to others, though this router keeps
             // it for a while: they would list a server again that is gone.
-            servers: [...servers.values()].filter(({id}) => !removals.has(id)),
+            servers: [...servers.values()].filter(
+              ({id}) => !pendingRemovals.has(id),
+            ),
           },
     noteLeaving(id) {
-      if (leavingRuns.has(id)) return false;
+      if (leavingInstances.has(id)) return false;
       const hasChanged = markLeaving(id);
       emit('server-says-leaving', {server: id});
-      if (hasChanged && cursor !== null) changed();
+      if (hasChanged && cursor !== null) notifyChanged();
       return true;
     },
     version: () => version,
     cursor: () => cursor,
-    settledMs: () => clock.now() - grewAt,
+    sinceNewServerMs: () => clock.now() - lastNewServerAt,
     ageMs: () => clock.now() - confirmedAt,
     has: id => servers.has(id),
     isReplaced(id) {
@@ -282,7 +288,7 @@
 }
 
 /** Whether the run began before the other one of its name. */
-function isEarlier(id: string, other: string): boolean {
+function isEarlierInstance(id: string, other: string): boolean {
   return (bornOfRun(id) ?? 0) < (bornOfRun(other) ?? 0);
 }
 
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,6 +1,6 @@
 import type {OperatorToken, Role} from '@banyandrum/base/access.js';
 import {parse} from 'smol-toml';
-import type {Room} from './room.js';
+import type {HostCapacity} from './host-capacity.js';
 
 /** What is logged: all, all but answered requests, nothing. */
 export type LogLevel = 'info' | 'warn' | 'off';
@@ -10,7 +10,7 @@
   readonly host: {
     readonly name: string;
     readonly dataCentre: string;
-    readonly room: Room;
+    readonly room: HostCapacity;
   };
   /** `ip:port` addresses that the process listens on. */
   readonly listen: {
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -7,7 +7,10 @@
 import {repeat, type RepeatConfig} from './repeat.js';
 
 /** What sharing what is suspected needs of the router. */
-export interface ShareConfig extends Pick<RepeatConfig, 'emit' | 'goesOn'> {
+export interface ShareSuspectsConfig extends Pick<
+  RepeatConfig,
+  'emit' | 'goesOn'
+> {
   readonly clock: Clock;
   readonly suspects: Suspects;
   readonly leadership: Leadership;
@@ -20,11 +23,11 @@
 /** Pause after a call that failed, in ms. */
 const RETRY_MS = 500;
 /** Pause before a router that starts reads again what it could not read, in ms. */
-const REREAD_MS = 400;
+const LOAD_RETRY_MS = 400;
 /** It serves after this time, in ms, though it can't know what is quarantined. */
-const UNKNOWN_MS = 2_000;
+const MAX_STARTUP_WAIT_MS = 2_000;
 /** Clearings stay in the record for this time, as its audit trail, in ms. */
-const KEEP_MS = 90 * 86_400_000;
+const CLEARED_RETENTION_MS = 90 * 86_400_000;
 
 /**
  * Shares what this router knows of requests under which servers ended. Each
@@ -38,18 +41,18 @@
  * const isInformed = shareSuspects(cfg);
  * ```
  */
-export function shareSuspects(cfg: ShareConfig): () => boolean {
+export function shareSuspects(cfg: ShareSuspectsConfig): () => boolean {
   const {clock, suspects, leadership, link, platform} = cfg;
   /** The rows in the record, by content. */
   const recorded = new Map<string, Suspect>();
-  let isRead = false;
-  let ledEpoch: number | null = null;
-  let isWriting = false;
+  let isLoaded = false;
+  let currentEpoch: number | null = null;
+  let isSaving = false;
 
-  const read = async (): Promise<boolean> => {
+  const loadRecords = async (): Promise<boolean> => {
     const rows = await platform.suspects.load();
     if (rows === null) return false;
-    isRead = true;
+    isLoaded = true;
     // A store that was restored from a copy may lack what it had.
     recorded.clear();
     for (const row of rows) recorded.set(row.content, row);
@@ -58,7 +61,7 @@
   };
 
   /** What the record lacks; each clearing of what it has, too. */
-  const unwritten = (): readonly Suspect[] =>
+  const unsavedRows = (): readonly Suspect[] =>
     suspects.rows().filter(row => {
       const known = recorded.get(row.content);
       if (known === undefined) return row.isQuarantined;
@@ -68,23 +71,23 @@
     });
 
   /** Writes what is unwritten, in whichever term this router leads. */
-  const write = async (): Promise<void> => {
-    if (isWriting) return;
-    isWriting = true;
+  const saveRows = async (): Promise<void> => {
+    if (isSaving) return;
+    isSaving = true;
     for (;;) {
       const epoch = leadership.epoch();
-      const [next] = unwritten();
+      const [next] = unsavedRows();
       if (epoch === null || next === undefined) break;
       const end = await platform.suspects.save(epoch, next);
       if (end === 'saved') recorded.set(next.content, next);
-      if (end === 'fenced') leadership.check();
+      if (end === 'fenced') leadership.checkTerm();
       if (end !== 'saved') await sleep(clock, RETRY_MS);
     }
-    isWriting = false;
+    isSaving = false;
   };
 
-  const dropOld = async (epoch: number): Promise<void> => {
-    const before = cfg.unixNow() - KEEP_MS;
+  const dropExpired = async (epoch: number): Promise<void> => {
+    const before = cfg.unixNow() - CLEARED_RETENTION_MS;
     for (const {content, isQuarantined, cleared} of [...recorded.values()]) {
       if (isQuarantined || (cleared?.at ?? 0) > before) continue;
       if (leadership.epoch() !== epoch) return;
@@ -93,35 +96,35 @@
     }
   };
 
-  const lead = async (epoch: number): Promise<void> => {
+  const startTerm = async (epoch: number): Promise<void> => {
     suspects.judge();
-    while (leadership.epoch() === epoch && !(await read())) {
+    while (leadership.epoch() === epoch && !(await loadRecords())) {
       await sleep(clock, RETRY_MS);
     }
-    await write();
-    await dropOld(epoch);
+    await saveRows();
+    await dropExpired(epoch);
   };
 
   suspects.subscribe((rows, isOwn) => {
     if (!leadership.isLeading()) {
-      if (isOwn) link.tellSuspects(rows);
+      if (isOwn) link.reportSuspects(rows);
       return;
     }
     suspects.judge();
     // Before it was read, a clearing would not be known as one of a record.
-    if (isRead) void write();
+    if (isLoaded) void saveRows();
   });
   leadership.subscribe(() => {
     const epoch = leadership.epoch();
-    if (epoch === ledEpoch) return;
-    ledEpoch = epoch;
-    if (epoch !== null) void lead(epoch);
+    if (epoch === currentEpoch) return;
+    currentEpoch = epoch;
+    if (epoch !== null) void startTerm(epoch);
   });
   const startedAt = clock.now();
-  const isUnread = (): boolean => !isRead && !link.isTold();
-  const goesOn = (): boolean => cfg.goesOn() && isUnread();
-  repeat({...cfg, name: 'suspects', ms: REREAD_MS, goesOn}, async () => {
-    await read();
+  const isUninformed = (): boolean => !isLoaded && !link.isSynced();
+  const goesOn = (): boolean => cfg.goesOn() && isUninformed();
+  repeat({...cfg, name: 'suspects', ms: LOAD_RETRY_MS, goesOn}, async () => {
+    await loadRecords();
   });
-  return () => !isUnread() || clock.now() - startedAt > UNKNOWN_MS;
+  return () => !isUninformed() || clock.now() - startedAt > MAX_STARTUP_WAIT_MS;
 }
--- a/packages/gateway/src/stop-router.ts
+++ b/packages/gateway/src/stop-router.ts
@@ -1,9 +1,9 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {Entry} from './entry.js';
-import {handOver} from './hand-over.js';
+import {handOverLeadership} from './leadership-handover.js';
 import type {Leadership} from './leadership.js';
-import type {Routers} from './membership.js';
+import type {RouterGroup} from './membership.js';
 
 /** What a planned stop needs of the router. */
 export interface StopConfig {
@@ -12,7 +12,7 @@
   /** From the signal to the end of the process, in ms. */
   readonly graceMs: number;
   readonly entry: Entry;
-  readonly routers: Routers;
+  readonly routers: RouterGroup;
   readonly leadership: Leadership;
   goesOn(): boolean;
   /** Ends all loops and closes all interfaces. */
@@ -41,7 +41,9 @@
   entry.startClosing();
   // Nobody can be chosen in its place before it is taken out. While the
   // store is down it goes on renewing: keys would lapse with no leader.
-  void routers.leave(cfg.goesOn).then(() => handOver(leadership, clock));
+  void routers
+    .leave(cfg.goesOn)
+    .then(() => handOverLeadership(leadership, clock));
   const end = began + graceMs - END_MS;
   await sleep(clock, Math.min(NOTICE_MS, graceMs / 2));
   // By now the balancer sends no new connection. A request on a kept one
--- a/packages/gateway/test/config-keeper.test.ts
+++ b/packages/gateway/test/config-keeper.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {sleep} from '@banyandrum/base/clock.js';
-import {keepConfig} from '@banyandrum/gateway/config-keeper.js';
+import {createConfigKeeper} from '@banyandrum/gateway/config-keeper.js';
 import type {ConfigRead, Platform} from '@banyandrum/gateway/platform.js';
 import type {RoutingConfig} from '@banyandrum/routing/config.js';
 import {
@@ -68,7 +68,7 @@
   const clock = createManualClock(1_000);
   const source = createSource(clock);
   let isFollowing = true;
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     source.platform,
     clock,
     () => undefined,
@@ -87,7 +87,7 @@
 void tap.test('news from the leader is read at once', async t => {
   const clock = createManualClock(1_000);
   const source = createSource(clock);
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     source.platform,
     clock,
     () => undefined,
@@ -95,11 +95,11 @@
   );
   await clock.advance(100);
   source.versions.push(2);
-  keeper.noteCursor(2);
+  keeper.onCursorAnnounced(2);
   await clock.advance(10);
   t.equal(keeper.current()?.version, 2);
   source.versions.push(1);
-  keeper.noteCursor(3);
+  keeper.onCursorAnnounced(3);
   await clock.advance(10);
   t.equal(keeper.current()?.version, 2, 'never back');
   keeper.stop();
@@ -113,7 +113,7 @@
   const source = createSource(clock);
   const counted = countReads(source.platform);
   let isRelayed = false;
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     counted.platform,
     clock,
     () => undefined,
@@ -124,8 +124,8 @@
   isRelayed = true;
   await clock.advance(2_000);
   const before = counted.reads;
-  keeper.takeRelayed(config(2), 2);
-  keeper.noteCursor(2);
+  keeper.applyRelayed(config(2), 2);
+  keeper.onCursorAnnounced(2);
   await clock.advance(20_000);
   t.equal(keeper.current()?.version, 2);
   t.equal(counted.reads, before, 'nothing is read');
@@ -148,14 +148,14 @@
       return {kind: 'failed', detail: 'status 503'};
     },
   } as unknown as Platform;
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     platform,
     clock,
     () => undefined,
     () => true,
   );
   for (let beat = 0; beat < 50; beat++) {
-    keeper.noteCursor(7);
+    keeper.onCursorAnnounced(7);
     await clock.advance(200);
   }
   t.ok(reads < 25, `${reads} calls in 10 s`);
@@ -179,7 +179,7 @@
     },
   } as unknown as Platform;
   let isRelayed = false;
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     platform,
     clock,
     () => undefined,
@@ -190,7 +190,7 @@
   isRelayed = true;
   await clock.advance(6_000);
   t.ok(reads <= 2, `${reads} reads`);
-  keeper.takeRelayed(config(1), 1);
+  keeper.applyRelayed(config(1), 1);
   t.equal(keeper.current()?.version, 1);
   keeper.stop();
 });
@@ -203,7 +203,7 @@
   const source = createSource(clock);
   const counted = countReads(source.platform);
   let isRelayed = false;
-  const keeper = keepConfig(
+  const keeper = createConfigKeeper(
     counted.platform,
     clock,
     () => undefined,
--- a/packages/gateway/test/room.test.ts
+++ b/packages/gateway/test/host-capacity.test.ts
@@ -1,5 +1,8 @@
 import tap from 'tap';
-import {pickDeputies, pickRoomiest} from '@banyandrum/gateway/room.js';
+import {
+  pickDeputies,
+  pickLargestHost,
+} from '@banyandrum/gateway/host-capacity.js';
 
 const SMALL = {processors: 0.27, linkMbps: 10};
 const LARGE = {processors: 1.35, linkMbps: 200};
@@ -12,14 +15,14 @@
 // services that are divided by key are refused.
 void tap.test('leading goes to the host with clearly more room', async t => {
   const some = [at('a', SMALL), at('b', LARGE), at('c', LARGE)];
-  t.equal(pickRoomiest(SMALL, some)?.address, 'b');
-  t.equal(pickRoomiest(LARGE, some), null, 'and stays there');
-  t.equal(pickRoomiest(SMALL, [at('a', SMALL)]), null);
+  t.equal(pickLargestHost(SMALL, some)?.address, 'b');
+  t.equal(pickLargestHost(LARGE, some), null, 'and stays there');
+  t.equal(pickLargestHost(SMALL, [at('a', SMALL)]), null);
 });
 
 void tap.test('a quick processor behind a thin link is no gain', async t => {
   const thin = at('a', {processors: 4, linkMbps: 7});
-  t.equal(pickRoomiest(SMALL, [thin]), null);
+  t.equal(pickLargestHost(SMALL, [thin]), null);
 });
 
 // A data centre is lost with the leader and all large hosts in it. Whoever is
--- a/packages/gateway/test/succession.test.ts
+++ b/packages/gateway/test/leader-election.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
-import {createSuccession} from '@banyandrum/gateway/succession.js';
-import type {Candidate} from '@banyandrum/gateway/room.js';
+import {createLeaderElection} from '@banyandrum/gateway/leader-election.js';
+import type {Candidate} from '@banyandrum/gateway/host-capacity.js';
 import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
 
 const SELF = '10.0.0.1:7200';
@@ -31,32 +31,32 @@
   let begins = 0;
   const looked: string[] = [];
   const offered: string[] = [];
-  const succession = createSuccession({
+  const succession = createLeaderElection({
     emit: () => undefined,
     self: SELF,
     isChosen: () => found.isChosen ?? true,
-    restoredMs: () => Infinity,
+    sinceRestoreMs: () => Infinity,
     isLeading: () => begins > 0,
-    heardLeaderTouchMs: () => found.heardTouchMs ?? null,
+    leaderContactAgeMs: () => found.heardTouchMs ?? null,
     lastLeader: async () => found.last ?? {kind: 'read', address: OTHER},
-    async reach(address) {
+    async followAt(address) {
       looked.push(address);
       return found.answers ?? false;
     },
     room: SMALL,
     deputies: () => found.deputies ?? [],
-    async offer(address) {
+    async offerLeadership(address) {
       offered.push(address);
       return found.willing?.includes(address) ?? false;
     },
-    async begin() {
+    async startTerm() {
       begins++;
       return true;
     },
   });
-  if (found.isAsked) await succession.answer();
-  await Promise.all([succession.consider(), succession.consider()]);
-  await succession.consider();
+  if (found.isAsked) await succession.handleOffer();
+  await Promise.all([succession.runIfNeeded(), succession.runIfNeeded()]);
+  await succession.runIfNeeded();
   return {begins, looked, offered};
 }
 
--- a/packages/gateway/test/restored-leaders.test.ts
+++ b/packages/gateway/test/leadership-restore.test.ts
@@ -59,7 +59,7 @@
     const orders = world.ordersFor(at);
     const leadership = createLeadership({
       platform: {ledger, history, orders} as unknown as Platform,
-      ...{clock, wakefulNow: () => clock.now()},
+      ...{clock, suspendAwareNow: () => clock.now()},
       timing: createTiming(10_000),
       ...{boot: `b${at}`, address: `10.0.1.${at}:7200`},
       emit: () => undefined,
@@ -104,7 +104,7 @@
       });
     });
   },
-  scene => void pickFrom(scene, scene.routers).leadership.begin(),
+  scene => void pickFrom(scene, scene.routers).leadership.startTerm(),
   scene => pickFrom(scene, scene.routers).leadership.resign(),
   scene => {
     const {access} = pickFrom(scene, scene.routers);
@@ -138,7 +138,7 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
     const scene = createScene(seed);
     const {world, routers, random} = scene;
-    void routers[0]!.leadership.begin();
+    void routers[0]!.leadership.startTerm();
     await scene.pass(3_000);
     Object.assign(world.luck, {late: 0.02, unanswered: 0.02, unsaved: 0.02});
     for (let passed = 0; passed < TROUBLE_MS;) {
@@ -151,7 +151,7 @@
     await scene.pass(TROUBLE_LONGEST_MS);
     for (let passed = 0; passed < CALM_MS; passed += SUCCESSION_MS) {
       if (!routers.some(({leadership}) => leadership.isLeading())) {
-        void routers[0]!.leadership.begin();
+        void routers[0]!.leadership.startTerm();
       }
       await scene.pass(SUCCESSION_MS);
     }
--- a/packages/gateway/test/many-changes.test.ts
+++ b/packages/gateway/test/leadership-scale.test.ts
@@ -64,7 +64,7 @@
     platform: {ledger, orders, history} as unknown as Platform,
     ...{clock, timing: createTiming(10_000), boot: 'b1'},
     ...{address: '10.0.0.9:7200', emit: () => undefined},
-    wakefulNow: () => clock.now(),
+    suspendAwareNow: () => clock.now(),
     keyedServices: () => ['rounds'],
     serversOf: () => scene.servers,
     hasEnded: () => false,
@@ -94,7 +94,7 @@
     told++;
     known = leadership.tables() ?? new Map();
   });
-  void leadership.begin();
+  void leadership.startTerm();
   await clock.advance(3_000);
   t.equal(known.get('rounds')?.length, SERVERS * 2);
   t.notOk(known.get('rounds')?.some(({server}) => server === null));
@@ -127,11 +127,11 @@
     return {...range, server: id, address, fence: 1, handover: null};
   });
   const scene = createScene(7, holdings);
-  void scene.leadership.begin();
+  void scene.leadership.startTerm();
   await scene.clock.advance(2_000);
   t.equal(scene.leadership.isLeading(), true, 'it goes on');
   const next = createScene(8, holdings);
-  void next.leadership.begin();
+  void next.leadership.startTerm();
   await next.clock.advance(100);
   t.ok(scene.fences.length >= holdings.length);
   t.ok(next.fences.length > 0);
@@ -148,7 +148,7 @@
     return {...range, server: id, address, fence: 1, handover: null};
   });
   const scene = createScene(2, holdings);
-  void scene.leadership.begin();
+  void scene.leadership.startTerm();
   let most = 0;
   for (let passed = 0; passed < 600; passed += 50) {
     const before = scene.fences.length;
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -39,7 +39,7 @@
   const leadership = createLeadership({
     platform: {ledger: LEDGER, orders, history} as unknown as Platform,
     clock,
-    wakefulNow,
+    suspendAwareNow: wakefulNow,
     timing: createTiming(10_000),
     boot: 'b1',
     address: '10.0.0.9:7200',
@@ -65,7 +65,7 @@
       await clock.advance(50);
     }
   };
-  void leadership.begin();
+  void leadership.startTerm();
   await pass(3_000);
   t.ok(grants > 0);
   isNewest = null;
@@ -77,7 +77,7 @@
   await pass(3_000);
   t.ok(grants > before, 'once confirmed it goes on');
   isNewest = false;
-  leadership.check();
+  leadership.checkTerm();
   await pass(100);
   t.equal(leadership.isLeading(), false, 'it ends once another began');
   const ended = grants;
--- a/packages/gateway/test/link-bytes.test.ts
+++ b/packages/gateway/test/link-message-size.test.ts
@@ -9,11 +9,11 @@
   type StateMessage,
 } from '@banyandrum/gateway/link-messages.js';
 import {
-  createListener,
-  createTeller,
-} from '@banyandrum/gateway/link-telling.js';
+  createSubscriber,
+  createStateBroadcaster,
+} from '@banyandrum/gateway/link-broadcaster.js';
 import type {WireConfig} from '@banyandrum/gateway/link-config.js';
-import type {Candidate} from '@banyandrum/gateway/room.js';
+import type {Candidate} from '@banyandrum/gateway/host-capacity.js';
 import {createServerList} from '@banyandrum/gateway/server-list.js';
 import {MAX_KEY, type ServedRange} from '@banyandrum/ranges/table.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
@@ -93,39 +93,39 @@
 void tap.test('a heartbeat without news is brief', async t => {
   const clock = createManualClock();
   const list = createServerList(clock, () => undefined, 2_000);
-  list.take({kind: 'read', isWhole: true, changes: [], cursor: 12_345});
+  list.applyRead({kind: 'read', isWhole: true, changes: [], cursor: 12_345});
   const leadership = {
     tables: () => new Map(),
     version: () => 'v1',
   } as unknown as Leadership;
-  const teller = createTeller({
+  const teller = createStateBroadcaster({
     suspects: {rows: () => []},
     limits: {rows: () => []},
     ...{clock, list, leadership, room: {processors: 1, linkMbps: 100}},
     configCursor: () => 12,
     config: () => ({}) as WireConfig,
     configAgeMs: () => 17.4,
-    touchMs: () => 120.6,
+    contactAgeMs: () => 120.6,
   });
   const written: Buffer[] = [];
   const listeners = ['kitimat', 'houston', 'terrace', 'smithers'].map(
     (dataCentre, at) => {
-      const listener = createListener({
+      const listener = createSubscriber({
         write: ({bytes}) => written.push(bytes),
       });
       listener.candidate = candidate(at, dataCentre);
       return listener;
     },
   );
-  teller.tell(listeners, listeners);
+  teller.send(listeners, listeners);
   const first = read(written.at(-1)!);
   t.equal(first.deputies?.length, 3, 'the first tells who leads next');
-  teller.beat(listeners);
-  teller.tell(listeners, listeners);
+  teller.onHeartbeat(listeners);
+  teller.send(listeners, listeners);
   t.equal(read(written.at(-1)!).deputies, null, 'nothing new of them');
   t.ok(written.at(-1)!.length <= 190, `${written.at(-1)!.length} bytes`);
   listeners.shift();
-  teller.tell(listeners, listeners);
+  teller.send(listeners, listeners);
   t.equal(read(written.at(-1)!).deputies?.length, 3, 'others lead next now');
 });
 
@@ -151,12 +151,12 @@
     tables,
     version: () => `v${version}`,
   } as unknown as Leadership;
-  const teller = createTeller({
+  const teller = createStateBroadcaster({
     suspects: {rows: () => []},
     limits: {rows: () => []},
     ...{clock, list, leadership, room: {processors: 1, linkMbps: 100}},
     ...{configCursor: () => null, config: () => null},
-    ...{configAgeMs: () => 0, touchMs: () => 0},
+    ...{configAgeMs: () => 0, contactAgeMs: () => 0},
   });
   let told = 0;
   let last = '';
@@ -167,18 +167,18 @@
       told++;
       last = rows[0]![2]!;
     };
-    const listener = createListener({write});
+    const listener = createSubscriber({write});
     listener.candidate = candidate(at, 'houston');
     return listener;
   });
   for (let passed = 0; passed < 10_000; passed += HEARTBEAT_MS) {
     version++;
-    teller.beat(listeners);
-    teller.tell(listeners, listeners);
+    teller.onHeartbeat(listeners);
+    teller.send(listeners, listeners);
     await clock.advance(HEARTBEAT_MS);
   }
   t.ok(told <= 4, `${told} times`);
   await clock.advance(3_000);
-  teller.tell(listeners, listeners);
+  teller.send(listeners, listeners);
   t.equal(last, `s${version}`, 'and of the last change');
 });
--- a/packages/gateway/test/link.test.ts
+++ b/packages/gateway/test/link.test.ts
@@ -21,7 +21,7 @@
   type LinkClient,
 } from '@banyandrum/gateway/link-client.js';
 import {serveLinks} from '@banyandrum/gateway/link-server.js';
-import type {Candidate} from '@banyandrum/gateway/room.js';
+import type {Candidate} from '@banyandrum/gateway/host-capacity.js';
 import {
   createServerList,
   type ServerList,
@@ -88,12 +88,12 @@
   tables: () => new Map(),
   version: () => 'v1',
   epoch: () => 1,
-  touchMs: () => 0,
-  noteTerm: () => undefined,
-  begin: async () => true,
-  check: () => undefined,
+  confirmationAgeMs: () => 0,
+  observeTerm: () => undefined,
+  startTerm: async () => true,
+  checkTerm: () => undefined,
   resign: () => undefined,
-  takeCounts: () => undefined,
+  addRequestCounts: () => undefined,
   subscribe: () => undefined,
 };
 
@@ -144,18 +144,18 @@
   const clock = createClock();
   const emit = (): void => undefined;
   return followLeader({
-    ...{clock, emit, list, self, chosen},
+    ...{clock, emit, list, self, chosenAddress: chosen},
     owners: createKeyOwners(clock, emit),
     suspects: createSuspects(clock, emit),
     limits: createServerLimits({clock, emit}),
     isLeading: () => false,
-    onOffered: () => undefined,
-    onLost: () => undefined,
+    onLeadershipOffered: () => undefined,
+    onLeaderLost: () => undefined,
     epoch: () => null,
-    noteConfigCursor: () => undefined,
-    takeConfig: () => undefined,
+    onConfigCursor: () => undefined,
+    applyConfig: () => undefined,
     configCursor: () => null,
-    noteRouters: () => undefined,
+    setRouterCount: () => undefined,
   });
 }
 
@@ -181,8 +181,8 @@
     config: () => null,
     configAgeMs: () => 0,
     leader: () => null,
-    touchMs: () => 0,
-    onOffered: async () => true,
+    contactAgeMs: () => 0,
+    onLeadershipOffered: async () => true,
     noteReplaced: () => undefined,
     noteLeaving: () => undefined,
     noteRequest: () => undefined,
@@ -245,11 +245,16 @@
 void tap.test('what the leader reads reaches all routers', async t => {
   const {leaderList, list, close} = await startScene();
   const listed = {kind: 'listed', server: SERVER} as const;
-  leaderList.take({kind: 'read', isWhole: true, changes: [listed], cursor: 1});
+  leaderList.applyRead({
+    kind: 'read',
+    isWhole: true,
+    changes: [listed],
+    cursor: 1,
+  });
   await until(async () => list.has('s1'));
   const leaving = {...listed, server: {...SERVER, isLeaving: true}};
-  list.take({kind: 'failed', detail: 'silent'});
-  leaderList.take({
+  list.applyRead({kind: 'failed', detail: 'silent'});
+  leaderList.applyRead({
     kind: 'read',
     isWhole: false,
     changes: [leaving],
@@ -269,13 +274,13 @@
   'one that is asked to lead answers soon or counts as gone',
   async t => {
     const {path, link, close} = await startScene();
-    t.equal(await link.offer(path.address), true);
-    t.equal(await link.offer(await freeAddress()), false, 'refused');
+    t.equal(await link.offerLeadership(path.address), true);
+    t.equal(await link.offerLeadership(await freeAddress()), false, 'refused');
     const open: Socket[] = [];
     const silent = createServer(socket => void open.push(socket));
     const address = await listenAny(silent);
     const began = performance.now();
-    t.equal(await link.offer(address), false);
+    t.equal(await link.offerLeadership(address), false);
     const tookMs = performance.now() - began;
     t.ok(tookMs < 2_000, `given up after ${tookMs} ms`);
     silent.close();
--- a/packages/gateway/test/membership.test.ts
+++ b/packages/gateway/test/membership.test.ts
@@ -1,5 +1,8 @@
 import tap from 'tap';
-import {followRouters, type Routers} from '@banyandrum/gateway/membership.js';
+import {
+  joinRouterGroup,
+  type RouterGroup,
+} from '@banyandrum/gateway/membership.js';
 import type {Members} from '@banyandrum/gateway/platform.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
@@ -49,19 +52,19 @@
   let isLost = false;
   let hasLeader = false;
   const lost = new Set<number>();
-  const routers: Routers[] = Array.from({length: count}, (_, at) => {
+  const routers: RouterGroup[] = Array.from({length: count}, (_, at) => {
     const member = group.memberOf(`entry-${at}`);
-    return followRouters({
+    return joinRouterGroup({
       members: {
         ...member,
         join: async () => (lost.has(at) ? null : member.join()),
       },
-      ...{clock, wakefulNow: clock.now},
+      ...{clock, suspendAwareNow: clock.now},
       emit: () => undefined,
       onJoined: () => undefined,
       onReplaced: () => undefined,
-      hearsLeader: () => hasLeader && !isLost,
-      isSpared: () => hasLeader && !isLost && at > DEPUTIES,
+      followsLeader: () => hasLeader && !isLost,
+      maySkipJoin: () => hasLeader && !isLost && at > DEPUTIES,
     });
   });
   await clock.advance(1_000);
--- a/packages/gateway/test/router-count.test.ts
+++ b/packages/gateway/test/router-count.test.ts
@@ -9,14 +9,14 @@
   const clock = createManualClock(0);
   const count = createRouterCount(clock);
   t.equal(count.current(), 1);
-  count.note(59);
+  count.record(59);
   await clock.advance(9_000);
-  count.note(1);
+  count.record(1);
   t.equal(count.current(), 59);
   await clock.advance(10_000);
-  count.note(1);
+  count.record(1);
   t.equal(count.current(), 59, 'within the last whole window');
   await clock.advance(10_000);
-  count.note(8);
+  count.record(8);
   t.equal(count.current(), 8);
 });
--- a/packages/gateway/test/server-list.test.ts
+++ b/packages/gateway/test/server-list.test.ts
@@ -40,13 +40,13 @@
 function scene(): {clock: ManualClock; list: ServerList} {
   const clock = createManualClock(10_000);
   const list = createServerList(clock, () => undefined, 2_000);
-  list.take(read(2, [listed(server('a')), listed(server('bb'))], true));
+  list.applyRead(read(2, [listed(server('a')), listed(server('bb'))], true));
   return {clock, list};
 }
 
 void tap.test('a removal counts at once while all is calm', async t => {
   const {list} = scene();
-  list.take(read(3, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
   t.equal(list.has('a'), false);
 });
 
@@ -54,13 +54,13 @@
 // when it does, and keep their requests until then.
 void tap.test('after an outage entries get time to return', async t => {
   const {clock, list} = scene();
-  list.take(FAILED);
+  list.applyRead(FAILED);
   await clock.advance(1_000);
-  list.take(read(3, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
   t.equal(list.has('a'), true);
-  list.take(read(4, [listed(server('a'))]));
+  list.applyRead(read(4, [listed(server('a'))]));
   await clock.advance(5_000);
-  list.take(read(4, []));
+  list.applyRead(read(4, []));
   t.equal(list.has('a'), true);
 });
 
@@ -69,12 +69,12 @@
 // reached the server long after it was gone from the list.
 void tap.test('no entry outlives the time after the outage', async t => {
   const {clock, list} = scene();
-  list.take(FAILED);
+  list.applyRead(FAILED);
   await clock.advance(2_100);
-  list.take(read(3, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
   t.equal(list.has('a'), true);
   await clock.advance(200);
-  list.take(read(3, []));
+  list.applyRead(read(3, []));
   t.equal(list.has('a'), false);
 });
 
@@ -83,12 +83,12 @@
 void tap.test('a list from elsewhere brings nothing back', async t => {
   const {clock, list: leader} = scene();
   const {list} = scene();
-  leader.take(FAILED);
-  leader.take(read(3, [{kind: 'removed', id: 'a'}]));
-  leader.take(read(4, [listed(server('bb', {isLeaving: true}))]));
+  leader.applyRead(FAILED);
+  leader.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
+  leader.applyRead(read(4, [listed(server('bb', {isLeaving: true}))]));
   t.equal(leader.has('a'), true);
-  list.take(read(3, [{kind: 'removed', id: 'a'}]));
-  list.takeSnapshot(leader.snapshot()!, 0);
+  list.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
+  list.applySnapshot(leader.snapshot()!, 0);
   t.equal(list.has('a'), false);
   t.equal(list.snapshot()!.servers[0]!.isLeaving, true);
   await clock.advance(1);
@@ -97,18 +97,18 @@
 void tap.test('an older list from elsewhere is nothing new', async t => {
   const {list} = scene();
   const {list: behind} = scene();
-  list.take(read(5, [{kind: 'removed', id: 'a'}]));
-  list.takeSnapshot(behind.snapshot()!, 0);
+  list.applyRead(read(5, [{kind: 'removed', id: 'a'}]));
+  list.applySnapshot(behind.snapshot()!, 0);
   t.equal(list.has('a'), false);
 });
 
 void tap.test('a newer server at the address ends the older one', async t => {
   const {list} = scene();
   t.equal(list.isReplaced('a'), false);
-  list.take(read(3, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
   t.equal(list.isReplaced('a'), false, 'gone from the list proves nothing');
   const {address} = server('a');
-  list.take(read(4, [listed(server('new', {address}))]));
+  list.applyRead(read(4, [listed(server('new', {address}))]));
   t.equal(list.isReplaced('a'), true);
   t.equal(list.isReplaced('new'), false);
 });
@@ -119,26 +119,28 @@
 void tap.test('a later run under the same name takes its place', async t => {
   const {list} = scene();
   const [first, second] = [server('a~100'), server('a~200')];
-  list.take(read(3, [listed(first)]));
+  list.applyRead(read(3, [listed(first)]));
   t.equal(list.has('a'), false, 'the run without a moment came before');
-  list.take(read(4, [listed(second)]));
+  list.applyRead(read(4, [listed(second)]));
   t.equal(list.has('a~100'), false);
   t.equal(list.has('a~200'), true);
   t.equal(list.isReplaced('a~100'), false, 'it obeys what that was ordered');
-  list.take(read(5, [listed(first)]));
+  list.applyRead(read(5, [listed(first)]));
   t.equal(list.has('a~100'), false, 'an older one that comes late is no news');
   t.equal(list.has('a~200'), true);
-  list.take(read(6, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(read(6, [{kind: 'removed', id: 'a'}]));
   t.equal(list.has('a~200'), false, 'it is removed by its name');
 });
 
 // The store turns the leader away while the server starts twice.
 void tap.test('runs are told apart in a list that is read anew', async t => {
   const {clock, list} = scene();
-  list.take(FAILED);
+  list.applyRead(FAILED);
   await clock.advance(1_000);
-  list.take(read(3, [{kind: 'removed', id: 'a'}]));
-  list.take(read(9, [listed(server('a~300')), listed(server('bb'))], true));
+  list.applyRead(read(3, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(
+    read(9, [listed(server('a~300')), listed(server('bb'))], true),
+  );
   t.equal(list.has('a'), false, 'no time to return for the earlier run');
   t.same(
     list
@@ -148,8 +150,10 @@
     ['a~300', 'bb'],
   );
   const other = createServerList(clock, () => undefined, 2_000);
-  other.take(read(4, [listed(server('a~200')), listed(server('bb'))], true));
-  other.takeSnapshot(list.snapshot()!, 0);
+  other.applyRead(
+    read(4, [listed(server('a~200')), listed(server('bb'))], true),
+  );
+  other.applySnapshot(list.snapshot()!, 0);
   t.equal(other.has('a~200'), false, 'told by a leader that knows more');
   t.equal(other.has('a~300'), true);
 });
@@ -165,12 +169,12 @@
   t.equal(list.noteLeaving('a'), false, 'already known');
   t.equal(changes, 1);
   t.equal(isLeaving(), true);
-  list.take(read(3, [listed(server('a'))]));
+  list.applyRead(read(3, [listed(server('a'))]));
   t.equal(isLeaving(), true, 'listed as ready');
-  list.take(read(4, [{kind: 'removed', id: 'a'}]));
-  list.take(read(5, [listed(server('a'))]));
+  list.applyRead(read(4, [{kind: 'removed', id: 'a'}]));
+  list.applyRead(read(5, [listed(server('a'))]));
   t.equal(isLeaving(), true, 'listed again after removal');
-  list.take(read(6, [listed(server('a~1796000000000'))]));
+  list.applyRead(read(6, [listed(server('a~1796000000000'))]));
   const runs = list.snapshot()!.servers.map(each => [each.id, each.isLeaving]);
   t.same(runs, [
     ['bb', false],
@@ -184,10 +188,10 @@
   async t => {
     const {list} = scene();
     const servers = [server('a', {isLeaving: true}), server('bb')];
-    list.takeSnapshot({cursor: 2, servers}, 0);
+    list.applySnapshot({cursor: 2, servers}, 0);
     t.equal(list.snapshot()!.servers[0]!.isLeaving, true, 'at the same cursor');
     const older = [server('a'), server('bb', {isLeaving: true})];
-    list.takeSnapshot({cursor: 1, servers: older}, 0);
+    list.applySnapshot({cursor: 1, servers: older}, 0);
     const states = list.snapshot()!.servers.map(each => each.isLeaving);
     t.same(
       states,
--- a/packages/gateway/test/thin-link.test.ts
+++ b/packages/gateway/test/slow-link.test.ts
@@ -1,13 +1,16 @@
 import tap from 'tap';
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
 import type {Leadership} from '@banyandrum/gateway/leadership.js';
-import {HEARTBEAT_MS, SILENCE_MS} from '@banyandrum/gateway/link-messages.js';
-import {applyList, digestOf} from '@banyandrum/gateway/link-state.js';
 import {
-  createListener,
-  createTeller,
-  type Listener,
-} from '@banyandrum/gateway/link-telling.js';
+  HEARTBEAT_MS,
+  LEADER_TIMEOUT_MS,
+} from '@banyandrum/gateway/link-messages.js';
+import {applyList, digestServers} from '@banyandrum/gateway/link-state.js';
+import {
+  createSubscriber,
+  createStateBroadcaster,
+  type Subscriber,
+} from '@banyandrum/gateway/link-broadcaster.js';
 import {createServerList} from '@banyandrum/gateway/server-list.js';
 import type {ServedRange} from '@banyandrum/ranges/table.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
@@ -42,8 +45,8 @@
   const clock = createManualClock();
   const list = createServerList(clock, () => undefined, 2_000);
   const changes = LIST.map(server => ({kind: 'listed', server}) as const);
-  list.take({kind: 'read', isWhole: true, changes, cursor: 1_000});
-  const teller = createTeller({
+  list.applyRead({kind: 'read', isWhole: true, changes, cursor: 1_000});
+  const teller = createStateBroadcaster({
     suspects: {rows: () => []},
     limits: {rows: () => []},
     ...{clock, list, leadership: LEADING},
@@ -51,11 +54,11 @@
     configCursor: () => null,
     config: () => null,
     configAgeMs: () => 0,
-    touchMs: () => 0,
+    contactAgeMs: () => 0,
   });
   let linkFreeAt = 0;
   let silenceMs = 0;
-  const listeners = Array.from({length: FOLLOWERS}, (_, at): Listener => {
+  const listeners = Array.from({length: FOLLOWERS}, (_, at): Subscriber => {
     let heardAt = 0;
     const write = ({bytes}: {bytes: Buffer}): void => {
       linkFreeAt =
@@ -63,7 +66,7 @@
       silenceMs = Math.max(silenceMs, linkFreeAt - heardAt);
       heardAt = linkFreeAt;
     };
-    const listener = createListener({write});
+    const listener = createSubscriber({write});
     listener.candidate = {
       ...{address: `10.1.0.${at}:7200`, dataCentre: 'naroda'},
       room: {processors: 0.27, linkMbps: LINK_MBPS},
@@ -71,11 +74,11 @@
     listener.listDigest = digest;
     return listener;
   });
-  for (const listener of listeners) teller.tell([listener], listeners);
-  while (listeners.some(({told}) => told === null)) {
+  for (const listener of listeners) teller.send([listener], listeners);
+  while (listeners.some(({lastSent: told}) => told === null)) {
     await clock.advance(HEARTBEAT_MS);
-    teller.beat(listeners);
-    teller.tell(listeners, listeners);
+    teller.onHeartbeat(listeners);
+    teller.send(listeners, listeners);
   }
   return {silenceMs, toldMs: linkFreeAt};
 }
@@ -89,23 +92,26 @@
 // 18 terms in 33 s, `leader-left` 90 to 135 times in 2 s, at most 45 followers;
 // over real connections 3 of 77 followed after 3 s, and 224 had left.
 void tap.test('routers hear a leader behind a thin link', async t => {
-  const {silenceMs, toldMs} = await comeAtOnce(digestOf(LIST));
-  t.ok(silenceMs < SILENCE_MS, `silent for ${silenceMs} ms`);
+  const {silenceMs, toldMs} = await comeAtOnce(digestServers(LIST));
+  t.ok(silenceMs < LEADER_TIMEOUT_MS, `silent for ${silenceMs} ms`);
   t.ok(toldMs < 3_000, `all told after ${toldMs} ms`);
 });
 
 // The same where all of them start anew and know no server yet.
 void tap.test('routers that know nothing hear it as well', async t => {
   const {silenceMs, toldMs} = await comeAtOnce(null);
-  t.ok(silenceMs < SILENCE_MS, `silent for ${silenceMs} ms`);
+  t.ok(silenceMs < LEADER_TIMEOUT_MS, `silent for ${silenceMs} ms`);
   t.ok(toldMs < 9_000, `all told after ${toldMs} ms`);
 });
 
 // Lists that two routers read at different times hold the same servers.
 void tap.test('a list is known by its entries alone', async t => {
-  t.equal(digestOf([...LIST].reverse()), digestOf(LIST));
+  t.equal(digestServers([...LIST].reverse()), digestServers(LIST));
   const [first, ...others] = LIST;
-  t.not(digestOf([{...first!, isLeaving: true}, ...others]), digestOf(LIST));
+  t.not(
+    digestServers([{...first!, isLeaving: true}, ...others]),
+    digestServers(LIST),
+  );
 });
 
 // The platform turns the leader away now and then, so that it keeps a server
@@ -119,8 +125,8 @@
   const list = createServerList(clock, () => undefined, 2_000);
   const [gone, ...others] = LIST;
   const changes = LIST.map(server => ({kind: 'listed', server}) as const);
-  list.take({kind: 'read', isWhole: true, changes, cursor: 17});
-  const teller = createTeller({
+  list.applyRead({kind: 'read', isWhole: true, changes, cursor: 17});
+  const teller = createStateBroadcaster({
     suspects: {rows: () => []},
     limits: {rows: () => []},
     ...{clock, list, leadership: LEADING},
@@ -128,25 +134,30 @@
     configCursor: () => null,
     config: () => null,
     configAgeMs: () => 0,
-    touchMs: () => 0,
+    contactAgeMs: () => 0,
   });
   let told: readonly ServerInfo[] = [];
   let cursor: number | null = null;
-  const listener = createListener({
+  const listener = createSubscriber({
     write({bytes}) {
       const state = JSON.parse(bytes.toString());
       if (state.list !== null) told = applyList(told, state.list);
       cursor = state.listCursor;
     },
   });
-  listener.isNew = false;
-  teller.tell([listener], [listener]);
+  listener.awaitsHello = false;
+  teller.send([listener], [listener]);
   t.same([told.length, cursor], [SERVERS, 17]);
-  list.take({kind: 'failed', detail: 'status 503'});
+  list.applyRead({kind: 'failed', detail: 'status 503'});
   const removed = {kind: 'removed', id: gone!.id} as const;
-  list.take({kind: 'read', isWhole: false, changes: [removed], cursor: 18});
+  list.applyRead({
+    kind: 'read',
+    isWhole: false,
+    changes: [removed],
+    cursor: 18,
+  });
   t.ok(list.has(gone!.id), 'kept here for a while');
-  teller.tell([listener], [listener]);
+  teller.send([listener], [listener]);
   t.equal(cursor, 18);
   t.same(told.length, others.length, 'and told to others');
 });
--- a/packages/gateway/test/suspects-told.test.ts
+++ b/packages/gateway/test/suspects-broadcast.test.ts
@@ -7,13 +7,13 @@
 } from '@banyandrum/gateway/link-messages.js';
 import {
   createSession,
-  untoldSuspects,
+  suspectsUnknownToLeader,
   type LinkStream,
 } from '@banyandrum/gateway/link-session.js';
 import {
-  createListener,
-  createTeller,
-} from '@banyandrum/gateway/link-telling.js';
+  createSubscriber,
+  createStateBroadcaster,
+} from '@banyandrum/gateway/link-broadcaster.js';
 import {createServerList} from '@banyandrum/gateway/server-list.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
@@ -39,7 +39,7 @@
 function scene(): Scene {
   const clock = createManualClock();
   const suspects = createSuspects(clock, () => undefined);
-  const teller = createTeller({
+  const teller = createStateBroadcaster({
     ...{clock, suspects, list: createServerList(clock, () => undefined, 2_000)},
     limits: {rows: () => []},
     leadership: {
@@ -48,13 +48,13 @@
     } as unknown as Leadership,
     room: {processors: 1, linkMbps: 100},
     ...{configCursor: () => null, config: () => null},
-    ...{configAgeMs: () => 0, touchMs: () => 0},
+    ...{configAgeMs: () => 0, contactAgeMs: () => 0},
   });
   const written: Buffer[] = [];
   const write = (message: {bytes: Buffer}): void =>
     void written.push(message.bytes);
   const listeners = Array.from({length: ROUTERS}, (_, at) => {
-    const listener = createListener({write});
+    const listener = createSubscriber({write});
     const address = `10.1.0.${at}:7200`;
     const room = {processors: 1, linkMbps: 100};
     listener.candidate = {address, dataCentre: 'a', room};
@@ -62,13 +62,13 @@
   });
   const tell: Scene['tell'] = () => {
     written.length = 0;
-    teller.beat(listeners);
-    teller.tell(listeners, listeners);
+    teller.onHeartbeat(listeners);
+    teller.send(listeners, listeners);
     const bytes = written.reduce((sum, {length}) => sum + length, 0);
     const first = follow.responseDeserialize(written[0]!) as StateMessage;
     return {bytes, rows: first.suspects};
   };
-  while (listeners.some(({told}) => told === null)) tell();
+  while (listeners.some(({lastSent: told}) => told === null)) tell();
   return {suspects, tell};
 }
 
@@ -105,9 +105,13 @@
   strike(suspects, 'bad', 's2');
   const known = suspects.rows();
   const session = createSession(null as unknown as LinkStream, 'a', 0);
-  t.equal(untoldSuspects(session, known).length, 3, 'all, where it has none');
+  t.equal(
+    suspectsUnknownToLeader(session, known).length,
+    3,
+    'all, where it has none',
+  );
   for (const row of known) session.suspects.set(row.content, row);
-  t.same(untoldSuspects(session, suspects.rows()), []);
+  t.same(suspectsUnknownToLeader(session, suspects.rows()), []);
   strike(suspects, 'bad', 's3');
-  t.equal(untoldSuspects(session, suspects.rows()).length, 3);
+  t.equal(suspectsUnknownToLeader(session, suspects.rows()).length, 3);
 });
