--- a/packages/gateway/src/assignable-servers.ts
+++ b/packages/gateway/src/assignable-servers.ts
@@ -5,20 +5,20 @@
 import type {LedServer} from '@banyandrum/ranges/lead-state.js';
 import type {ServiceTimes} from './service-times.js';
 
-/** What the servers of a keyed service are known by. */
+/** What `listAssignableServers` reads. */
 export interface AssignableServersConfig {
   readonly backends: Backends;
   readonly times: ServiceTimes;
   readonly clock: Clock;
   readonly limits: Pick<ServerLimits, 'limitOf'>;
-  /** Whether the run of a server has provably ended. */
+  /** Whether the server instance has provably terminated. */
   hasEnded(server: string): boolean;
 }
 
-/** Before anything was measured, in ms. */
+/** Service time that is assumed until one was measured, in ms. */
 const DEFAULT_SERVICE_MS = 300;
 
-/** The servers of `service` that may hold keys, as placement sees them. */
+/** Lists the servers of `service` that may own keys, with their capacity. */
 export function listAssignableServers(
   {backends, times, clock, limits, hasEnded}: AssignableServersConfig,
   service: string,
@@ -40,7 +40,7 @@
     }));
 }
 
-/** Service time per slot at which the server reaches its limit, in ms. */
+/** Service time per slot at which a server reaches its request limit, in ms. */
 function limitedServiceMs(slots: number, perSecond: number | null): number {
   return perSecond === null ? 0 : (slots * 1_000) / perSecond;
 }
--- a/packages/gateway/src/config-keeper.ts
+++ b/packages/gateway/src/config-keeper.ts
@@ -5,69 +5,71 @@
 import type {Platform} from './platform.js';
 import {repeat} from './repeat.js';
 
-/** The newest configuration that this router knows. */
+/** Keeps the newest configuration that this router knows. */
 export interface ConfigKeeper {
   current(): RoutingConfig | null;
   /**
-   * Up to where others may be told that the platform's log was read; null
-   * before the first. Late enough for their own reads to have seen it.
+   * The log position that may be announced to other routers; null before the
+   * first read. It lags `cursor` so that their own reads find a change first.
    */
   announcedCursor(): number | null;
-  /** Another router has read up to `cursor`: looks at once if that's news. */
+  /** Another router has read up to `cursor`: reads at once if that is newer. */
   onCursorAnnounced(cursor: number): void;
-  /** A version that another router passed on, read up to `cursor`. */
+  /** Applies a version that the leader relayed, which it read up to `cursor`. */
   applyRelayed(config: RoutingConfig, cursor: number): void;
-  /** Up to where the platform's log was read; null before the first. */
+  /** Up to where the platform's log was read; null before the first read. */
   cursor(): number | null;
-  /** The newest version as it travels. */
+  /** The newest version in wire format; null while none is known. */
   wireConfig(): WireConfig | null;
-  /** Time since the platform showed that there is nothing newer, in ms. */
+  /** Time since the platform last confirmed that nothing is newer, in ms. */
   ageMs(): number;
   subscribe(listener: () => void): void;
   stop(): void;
 }
 
 /**
- * Where nobody tells of news, a read under way that began longer ago than a
- * short one lasts may have gone silent: another one looks, in ms.
+ * While no leader announces changes, a read that has taken this long, in ms, may
+ * have stalled, since it is longer than a short wait: a second read is started.
  */
 const STALLED_READ_MS = 1_200;
 const STALL_CHECK_MS = 300;
-/** A read that the platform holds until there is news, in ms. */
+/** How long the platform may hold a read until there is a change, in ms. */
 const LONG_WAIT_MS = 15_000;
-/** The same where nobody else would tell of news that a read missed, in ms. */
+/** The same while no leader announces changes that a read missed, in ms. */
 const SHORT_WAIT_MS = 900;
-/** First and longest pause after a read that failed, in ms. */
+/** Initial delay after a failed read, in ms. */
 const RETRY_MS = 200;
 /**
- * 27 routers that the platform turned away asked it 270 times a second between
- * them, for ten seconds. Once it answers them they are in touch after 3 s, and
- * must have the newest version 2 s later.
+ * Longest delay after a failed read, in ms. Without backoff, 27 routers that the
+ * platform rejected sent it 270 reads per second for ten seconds. Once it accepts
+ * calls again, routers are reconnected after 3 s and must have the newest version
+ * 2 s later.
  */
 const RETRY_MAX_MS = 1_600;
 /**
- * A router that just started hears a leader within about this time, in ms, and
- * reads no more by itself then; without one it goes on.
+ * Delay after the first read, in ms. A starting router finds a leader within
+ * about this time and needs no further reads of its own then.
  */
 const STARTUP_PAUSE_MS = 500;
-/** Whether the leader still passes versions on is looked at this often, ms. */
+/** Interval at which a router checks whether the leader still relays, in ms. */
 const RELAY_CHECK_MS = 250;
 /**
- * Reads that the platform holds end at the news by themselves. Others are told
- * so much later, in ms: told at once, each of them asked a second time, and
- * every change cost twice the calls.
+ * Delay before a change is announced to other routers, in ms. Their own pending
+ * reads return the change as well: announced at once, each of them read a second
+ * time, which doubled the calls for every change.
  */
 const ANNOUNCE_DELAY_MS = 300;
 
 /**
  * Reads the configuration until stopped. A version never replaces a newer one.
- * While the leader passes on what it reads (`isRelayed`) nothing is read here:
- * each change cost two calls for each router, and each router's waiting reads
- * four a minute; before the first version, one a second.
+ * `isNotified` tells whether a leader announces changes to this router. While the
+ * leader relays the versions that it reads (`isRelayed`), this router reads
+ * nothing itself: its reads would cost two calls per change and four per minute
+ * while idle, or one per second before the first version.
  *
  * @example
  * ```ts
- * const keeper = keepConfig(platform, clock, emit, () => isFollowing);
+ * const keeper = createConfigKeeper(platform, clock, emit, () => isFollowing);
  * keeper.current();
  * ```
  */
--- a/packages/gateway/src/host-capacity.ts
+++ b/packages/gateway/src/host-capacity.ts
@@ -1,28 +1,29 @@
-/** What a router's host has for the work of a leader. */
+/** Capacity of a router's host for the work of a leader. */
 export interface HostCapacity {
-  /** Processor, in cores of the usual speed. */
+  /** Processor capacity, in cores of standard speed. */
   readonly processors: number;
-  /** The host's own link, in Mbit/s. */
+  /** Bandwidth of the host's network link, in Mbit/s. */
   readonly linkMbps: number;
 }
 
-/** A router that could lead instead. */
+/** A router that could become the leader. */
 export interface Candidate {
-  /** `ip:port` for other routers. */
+  /** The address at which other routers reach it, `ip:port`. */
   readonly address: string;
   readonly room: HostCapacity;
   readonly dataCentre: string;
 }
 
 /**
- * Leading moves to a host with so many times the processor: a change costs a
- * grant of all keys, and hosts of one kind differ by less. Among 80 routers a
- * leader of 0.27 cores came 250 to 350 ms late to all that it did, and sent on
- * requests whose callers had left; one of 1.35 cores was busy for half its time.
+ * Leadership moves only to a host with at least this many times the processor
+ * capacity: a change of leader costs a new grant of all keys, and hosts of the
+ * same type differ by less. With 80 routers, a leader with 0.27 cores was 250 to
+ * 350 ms late with all its work and forwarded requests whose callers had left;
+ * one with 1.35 cores was busy half the time.
  */
 const MIN_PROCESSOR_RATIO = 1.5;
 
-/** Whether leading is clearly better off on `other` than on `own`. */
+/** Whether `other` has clearly more capacity for leading than `own`. */
 export function hasClearlyMoreCapacity(
   other: HostCapacity,
   own: HostCapacity,
@@ -34,13 +35,13 @@
 }
 
 /**
- * The candidate with the most room, where it has clearly more than `own`; null
- * where none has.
+ * Returns the candidate with the highest capacity if that is clearly more than
+ * `own`, else null.
  *
  * @example
  * ```ts
  * const next = pickRoomiest(own, followers);
- * if (next !== null) ask(next.address);
+ * if (next !== null) offerLeadership(next.address);
  * ```
  */
 export function pickLargestHost<T extends Candidate>(
@@ -60,12 +61,13 @@
   return a.linkMbps > b.linkMbps;
 }
 
-/** Two that are lost together with the leader leave one more. */
+/** If two deputies are lost together with the leader, one remains. */
 const MAX_DEPUTIES = 3;
 
 /**
- * Who should lead next: those with the most room, of as many data centres as
- * possible, since one of these may be lost with all that it has.
+ * Picks the routers that should lead next: those with the highest capacity,
+ * spread over as many data centres as possible, since a whole data centre may be
+ * lost.
  */
 export function pickDeputies(
   candidates: Iterable<Candidate>,
@@ -74,11 +76,11 @@
     (a, b) => b.room.processors - a.room.processors,
   );
   const seen = new Set<string>();
-  const firsts = sorted.filter(({dataCentre}) => {
+  const largestPerDataCentre = sorted.filter(({dataCentre}) => {
     if (seen.has(dataCentre)) return false;
     seen.add(dataCentre);
     return true;
   });
-  const others = sorted.filter(each => !firsts.includes(each));
-  return [...firsts, ...others].slice(0, MAX_DEPUTIES);
+  const others = sorted.filter(each => !largestPerDataCentre.includes(each));
+  return [...largestPerDataCentre, ...others].slice(0, MAX_DEPUTIES);
 }
--- a/packages/gateway/src/key-owners.ts
+++ b/packages/gateway/src/key-owners.ts
@@ -3,27 +3,27 @@
 import type {Owner, Owners} from '@banyandrum/dispatch/owners.js';
 import {findRange, type ServedRange} from '@banyandrum/ranges/table.js';
 
-/** Served ranges of each service. */
+/** The served ranges of each service. */
 export type ServedTables = ReadonlyMap<string, readonly ServedRange[]>;
 
-/** Requests by key since the last report: service, then key and count. */
+/** Number of requests by service and key since the last report. */
 export type KeyCounts = ReadonlyMap<string, ReadonlyMap<number, number>>;
 
-/** What this router knows of ownership. */
+/** What this router knows about the ownership of keys. */
 export interface KeyOwners extends Owners {
-  /** Takes the tables of the leader, or of the store in its absence. */
+  /** Sets the tables, which come from the leader or, without one, the store. */
   replaceTables(tables: ServedTables): void;
-  /** Requests counted since the last call. */
+  /** Returns the requests counted since the last call, and resets the counts. */
   drainCounts(): KeyCounts;
-  /** Servers whose runs were seen to have ended. */
+  /** Whether another instance was seen at the address of this one. */
   isReplaced(server: string): boolean;
 }
 
-/** Ended runs that are remembered: some weeks of restarts. */
+/** Limit of remembered replaced instances: a few weeks of restarts. */
 const MAX_REPLACED_INSTANCES = 10_000;
 
 /**
- * Keeps the tables that requests are routed by.
+ * Keeps the tables by which requests are routed.
  *
  * @example
  * ```ts
@@ -73,9 +73,9 @@
     },
     replaceTables(next) {
       tables = next;
-      const woken = waiting;
+      const waiters = waiting;
       waiting = [];
-      woken.forEach(wake => wake());
+      waiters.forEach(wake => wake());
     },
     drainCounts() {
       const drained = counts;
--- a/packages/gateway/src/leader-election.ts
+++ b/packages/gateway/src/leader-election.ts
@@ -6,64 +6,70 @@
   type HostCapacity,
 } from './host-capacity.js';
 
-/** What a router that the platform chose knows of whoever leads now. */
+/** What the leader election needs to know of this router and the leader. */
 export interface LeaderElectionConfig {
   readonly emit: Emit;
-  /** This router's own address for the others, `ip:port`. */
+  /** The address at which other routers reach this one, `ip:port`. */
   readonly self: string;
-  /** Whether the platform chose this router, as it said a moment ago. */
+  /** Whether the platform's last recent answer chose this router to lead. */
   isChosen(): boolean;
   isLeading(): boolean;
-  /** Since a restore of the store was noticed here, in ms. */
+  /** Time since this router noticed a restore of the store, in ms. */
   sinceRestoreMs(): number;
-  /** Since when the leader that is heard had no answer of the platform, ms. */
+  /**
+   * Time since the followed leader last reached the platform, in ms; null while
+   * no leader is followed.
+   */
   leaderContactAgeMs(): number | null;
   lastLeader(): Promise<LeaderRead>;
-  /** Follows whoever leads at the address; false where nobody does. */
+  /** Follows the leader at the address; false if no router leads there. */
   followAt(address: string): Promise<boolean>;
-  /** Who should lead, as the last leader told, the best first. */
+  /** Routers that the last leader designated to lead next, the best first. */
   deputies(): readonly Candidate[];
   readonly room: HostCapacity;
-  /** Asks the router at the address to lead; whether it does. */
+  /** Asks the router at the address to lead; returns whether it does. */
   offerLeadership(address: string): Promise<boolean>;
-  /** Begins a term; whether this router leads then. */
+  /** Starts a term; returns whether this router leads afterwards. */
   startTerm(): Promise<boolean>;
 }
 
 /** Decides whether this router becomes the leader. */
 export interface LeaderElection {
-  /** Something may have changed: chosen, or the leader is heard no more. */
+  /** Runs an election if this router is chosen and no leader works. */
   runIfNeeded(): Promise<void>;
   /**
-   * One that hears no leader asks this router to lead: whether anybody does
-   * then. A leader that works is kept, though the other one can't reach it.
+   * Handles the request of a router that follows no leader to lead; returns
+   * whether any router leads afterwards. A working leader is kept even if the
+   * requesting router can't reach it.
    */
   handleOffer(): Promise<boolean>;
 }
 
 /**
- * A leader that the platform hasn't answered for so long has lost it, in ms:
- * it can't record moves. Some joins without an answer in a row.
+ * A leader without an answer from the platform for this long counts as cut off
+ * from it, in ms, since it can't record moves. Several consecutive joins fail
+ * within this time.
  */
-const PLATFORM_CONTACT_TIMEOUT_MS = 2_000;
+const LOST_CONTACT_MS = 2_000;
 /**
- * After a restore of the store a leader that is heard has this time to come back
- * into touch with it, in ms: it alone knows who holds which keys.
+ * Time that a reachable leader has after a restore of the store to reconnect to
+ * it, in ms: only that leader knows which server owns which keys.
  */
 const RESTORE_GRACE_MS = 2_000;
 
 /**
- * The platform chooses anew whenever routers come or go. A leader that works is
- * kept all the same: each change of leader costs half a second without places
- * and a grant of all keys. Whoever is chosen begins only where it hears no
- * leader that is in touch, and none answers at the last one's address; and it
- * asks those with clearly more room first. One of 0.27 cores that began itself
- * was late for everything it did, and sent on what its callers had given up.
+ * Creates the election logic. The platform chooses a router again whenever
+ * routers join or leave, but a working leader is kept: each change of leader
+ * costs half a second without slots and a new grant of all keys. The chosen
+ * router starts a term only if it follows no leader that reaches the platform
+ * and none answers at the last leader's address. It first asks deputies with
+ * clearly more capacity: a leader with 0.27 cores was late with all its work and
+ * forwarded requests that their callers had already abandoned.
  *
  * @example
  * ```ts
- * const succession = createSuccession(cfg);
- * await succession.consider();
+ * const election = createLeaderElection(cfg);
+ * await election.runIfNeeded();
  * ```
  */
 export function createLeaderElection(
@@ -72,18 +78,16 @@
   let isRunning = false;
 
   const hasWorkingLeader = (): boolean => {
-    const touchMs = cfg.leaderContactAgeMs();
-    if (touchMs === null) return false;
-    return (
-      touchMs <= PLATFORM_CONTACT_TIMEOUT_MS ||
-      cfg.sinceRestoreMs() < RESTORE_GRACE_MS
-    );
+    const ageMs = cfg.leaderContactAgeMs();
+    if (ageMs === null) return false;
+    return ageMs <= LOST_CONTACT_MS || cfg.sinceRestoreMs() < RESTORE_GRACE_MS;
   };
 
   const isNeeded = (): boolean =>
     cfg.isChosen() && !cfg.isLeading() && !hasWorkingLeader();
 
   const findLeader = async (): Promise<'found' | 'none' | 'unknown'> => {
+    // A leader that is followed but doesn't work is replaced.
     if (cfg.leaderContactAgeMs() !== null) return 'none';
     const last = await cfg.lastLeader();
     if (last.kind === 'failed') return 'unknown';
@@ -97,9 +101,9 @@
     for (const {address, room} of cfg.deputies()) {
       if (address === cfg.self || !hasClearlyMoreCapacity(room, cfg.room))
         continue;
-      const leads = await cfg.offerLeadership(address);
-      cfg.emit('leading-offered', {to: address, leads});
-      if (leads) return void (await cfg.followAt(address));
+      const isLeader = await cfg.offerLeadership(address);
+      cfg.emit('leading-offered', {to: address, leads: isLeader});
+      if (isLeader) return void (await cfg.followAt(address));
     }
     if (isNeeded()) await cfg.startTerm();
   };
@@ -108,7 +112,7 @@
     async runIfNeeded() {
       if (isRunning || !isNeeded()) return;
       isRunning = true;
-      // Left busy by a defect, it would never lead again.
+      // Reset even after an error; otherwise this router could never lead again.
       await elect().finally(() => {
         isRunning = false;
       });
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -22,66 +22,69 @@
 import type {KeyCounts, ServedTables} from './key-owners.js';
 import type {Platform} from './platform.js';
 
-/** This router's part as the leader of all keyed services. */
+/** This router's role as the leader of all keyed services. */
 export interface Leadership {
-  /** Whether it leads now. */
+  /** Whether this router is the leader now. */
   isLeading(): boolean;
-  /** Null until it leads and knows the tables. */
+  /** The range tables by service; null while this router doesn't lead. */
   tables(): ServedTables | null;
-  /** Since when the platform showed that no later term began, in ms. */
+  /** Time since the platform last confirmed that no later term began, in ms. */
   confirmationAgeMs(): number;
-  /** The term in which it leads; null where it doesn't. */
+  /** The epoch of the current term; null while this router doesn't lead. */
   epoch(): number | null;
-  /** Another router says that it leads in this term. */
+  /** Another router reported that it leads with this term epoch. */
   observeTerm(epoch: number): void;
-  /** Changes whenever the tables do. */
+  /** Changes whenever the tables change. */
   version(): string;
-  /** Begins a term, which ends the one before it; whether it leads then. */
+  /**
+   * Starts a term, which ends the previous leader's. Returns whether this
+   * router leads afterwards.
+   */
   startTerm(): Promise<boolean>;
-  /** Another router may have begun: asks at once. */
+  /** Another router may have started a term: asks the platform at once. */
   checkTerm(): void;
-  /** This router stops. */
+  /** Ends the term because this router shuts down. */
   resign(): void;
   addRequestCounts(counts: KeyCounts): void;
   subscribe(listener: () => void): void;
 }
 
-/** What leading needs of the router. */
+/** What leadership needs from the router. */
 export interface LeadershipConfig {
   readonly platform: Platform;
   readonly clock: Clock;
   readonly emit: Emit;
-  /** Time that also passes while the host is suspended, in ms. */
+  /** Monotonic time that also advances while the host is suspended, in ms. */
   suspendAwareNow(): number;
   readonly timing: HoldTiming;
-  /** Distinguishes the versions of this run. */
+  /** Distinguishes the table versions of this process from others'. */
   readonly boot: string;
-  /** This router's address for the others, `ip:port`. */
+  /** The address at which other routers reach this one, `ip:port`. */
   readonly address: string;
   keyedServices(): readonly string[];
   serversOf(service: string): readonly LedServer[];
   hasEnded(server: string): boolean;
-  /** Whether no server came to the list for a while. */
+  /** Whether no new server has been listed for a while. */
   isListSettled(): boolean;
-  /** Whether the whole system, this process included, starts for the first time. */
+  /** Whether the whole deployment starts for the first time. */
   readonly isFirstStart: boolean;
-  /** Keys of the service whose requests wait for a place, one for each. */
+  /** Keys of the service's requests that wait for a slot, one per request. */
   waitingKeys(service: string): readonly number[];
 }
 
-/** Grants, renewals and moves are looked at this often, in ms. */
+/** Interval at which grants, renewals and moves are processed, in ms. */
 const TICK_MS = 50;
-/** Pause after a failed start of a term, in ms. */
+/** Delay after a term could not be started, in ms. */
 const RETRY_MS = 250;
 /**
- * Whether a later term has begun is asked this often, in ms: a few times within
- * a leader's authority, and one call to the platform each.
+ * Interval at which the platform is asked whether a later term has begun, in
+ * ms. Each check is one call; there are a few within `AUTHORITY_MS`.
  */
 const TERM_CHECK_MS = 2_500;
-/** A term ends with so many fences left, for moves under way. */
+/** A term ends with this many fences left, reserved for moves in progress. */
 const RESERVED_FENCES = 2 ** 16;
 
-/** What a term takes over, by service. */
+/** The assignments that a term takes over, by service. */
 type InheritedAssignments = ReadonlyMap<string, readonly InheritedHolding[]>;
 
 const NO_ASSIGNMENTS: InheritedAssignments = new Map();
@@ -94,12 +97,12 @@
 }
 
 /**
- * Makes this router's leadership; it does nothing until it begins.
+ * Creates this router's leadership, which is idle until a term is started.
  *
  * @example
  * ```ts
  * const leadership = createLeadership(cfg);
- * const leads = await leadership.begin();
+ * const isLeader = await leadership.startTerm();
  * ```
  */
 export function createLeadership(cfg: LeadershipConfig): Leadership {
@@ -116,12 +119,12 @@
   const notifier = createGathered(clock, () =>
     listeners.forEach(listener => listener()),
   );
-  /** What gains a server may be told of a little later. */
+  /** A range that gained a server may be announced with a short delay. */
   const notifyLater = (): void => {
     tablesRevision++;
     notifier.later();
   };
-  /** What loses its server is known before the server hears of it. */
+  /** Subscribers must know of a withdrawn range before its server is told. */
   const notifyBeforeRelease = (): void => {
     tablesRevision++;
     notifier.soon();
@@ -130,9 +133,9 @@
   const hasAuthority = (): boolean =>
     cfg.suspendAwareNow() - confirmedAt < AUTHORITY_MS;
 
-  const stopServices = (own: Term): void => {
+  const stopServices = (ownTerm: Term): void => {
     cancelTick();
-    for (const lead of own.services.values()) lead.stop();
+    for (const serviceLeader of ownTerm.services.values()) serviceLeader.stop();
   };
 
   const endTerm = (why: string): void => {
@@ -144,34 +147,39 @@
     notifier.now();
   };
 
+  /** Until when leaders of an earlier store epoch may still act. */
   const priorLeadersActUntil = (): number => history.seenAt() + AUTHORITY_MS;
 
+  /** Whether no server can hold a key that the stored tables don't name. */
   const areUnrecordedKeysFree = (): boolean => {
     const isWhole =
       history.epoch() === 0 || (cfg.isFirstStart && !hasSeenRestore);
     return isWhole || clock.now() >= cfg.timing.lapseOf(priorLeadersActUntil());
   };
 
-  /** Whether the store was restored since the term began. */
+  /** Whether the store was restored after the term began. */
   const isStoreRestoredSince = ({epoch}: Term): boolean =>
     storeEpochOfTerm(epoch) < history.epoch();
 
-  /** A term that the store lost records nothing: its successor would. */
-  const tableStoreForTerm = (own: Term): Pick<Ledger, 'save'> => ({
+  /**
+   * Refuses to save for a term that the restored store has lost; the term that
+   * replaces it saves instead.
+   */
+  const tableStoreForTerm = (ownTerm: Term): Pick<Ledger, 'save'> => ({
     save: async table =>
-      isStoreRestoredSince(own) ? 'failed' : platform.ledger.save(table),
+      isStoreRestoredSince(ownTerm) ? 'failed' : platform.ledger.save(table),
   });
 
-  const startNewServices = (own: Term): void => {
+  const startNewServices = (ownTerm: Term): void => {
     for (const service of cfg.keyedServices()) {
-      if (own.services.has(service)) continue;
-      const lead = leadService({
+      if (ownTerm.services.has(service)) continue;
+      const serviceLeader = leadService({
         service,
-        inherited: own.inherited.get(service) ?? null,
+        inherited: ownTerm.inherited.get(service) ?? null,
         earlierActUntil: priorLeadersActUntil(),
         isUnrecordedFree: areUnrecordedKeysFree,
         wakefulNow: cfg.suspendAwareNow,
-        ledger: tableStoreForTerm(own),
+        ledger: tableStoreForTerm(ownTerm),
         orders: platform.orders,
         clock,
         timing: cfg.timing,
@@ -179,41 +187,45 @@
         hasEnded: cfg.hasEnded,
         isListSettled: cfg.isListSettled,
         waitingKeys: () => cfg.waitingKeys(service),
-        nextFence: () => toFence(own.epoch, own.fence++),
-        mayAct: () => term === own && hasAuthority(),
+        nextFence: () => toFence(ownTerm.epoch, ownTerm.fence++),
+        mayAct: () => term === ownTerm && hasAuthority(),
         onChange: notifyLater,
         onWithdrawn: notifyBeforeRelease,
         onFenced: () => {
-          if (term === own) endTerm('fenced');
+          if (term === ownTerm) endTerm('fenced');
         },
         emit: (event, fields) => emit(event, {service, ...fields}),
       });
-      own.services.set(service, lead);
+      ownTerm.services.set(service, serviceLeader);
       notifyBeforeRelease();
     }
   };
 
-  const tick = (own: Term): void => {
-    if (term !== own) return;
-    if (own.fence >= FENCES_A_TERM - RESERVED_FENCES)
+  const tick = (ownTerm: Term): void => {
+    if (term !== ownTerm) return;
+    if (ownTerm.fence >= FENCES_A_TERM - RESERVED_FENCES)
       return endTerm('fences-used');
-    if (isStoreRestoredSince(own) && !hasAuthority())
+    if (isStoreRestoredSince(ownTerm) && !hasAuthority())
       return endTerm('restored');
-    startNewServices(own);
-    for (const lead of own.services.values()) lead.tick();
-    cancelTick = clock.after(TICK_MS, () => tick(own));
+    startNewServices(ownTerm);
+    for (const serviceLeader of ownTerm.services.values()) serviceLeader.tick();
+    cancelTick = clock.after(TICK_MS, () => tick(ownTerm));
   };
 
-  /** What this router knows, where the store lost it. */
-  const recallAssignments = (before: Term): InheritedAssignments => {
+  /** Assignments that this router remembers although the store has lost them. */
+  const recallAssignments = (previous: Term): InheritedAssignments => {
     const actUntil = confirmedAt + AUTHORITY_MS;
     return new Map(
-      [...before.services]
-        .map(([name, lead]) => [name, lead.remembered(actUntil)] as const)
+      [...previous.services]
+        .map(
+          ([name, serviceLeader]) =>
+            [name, serviceLeader.remembered(actUntil)] as const,
+        )
         .filter(([, holdings]) => holdings.length > 0),
     );
   };
 
+  /** Merges the stored tables with what this router remembers. */
   const mergeAssignments = (
     epoch: number,
     stored: readonly RangeTable[],
@@ -222,7 +234,7 @@
     const inherited = new Map(remembered);
     for (const table of stored) {
       const {service} = table;
-      // What was recorded since the restore is newer than what was known then.
+      // A table recorded after the restore is newer than the remembered one.
       const isNewer = isRecordedSinceRestore(table, epoch);
       if (inherited.has(service) && !isNewer) continue;
       inherited.set(service, inheritRecorded(table, epoch));
@@ -230,8 +242,8 @@
     return inherited;
   };
 
-  /** Begins a term, in place of `before`, which the store lost. */
-  const beginTerm = async (before: Term | null): Promise<void> => {
+  /** Starts a term; `previous` is a term of this router that the store lost. */
+  const beginTerm = async (previous: Term | null): Promise<void> => {
     isStarting = true;
     const askedAt = cfg.suspendAwareNow();
     const epoch = await platform.ledger.begin(cfg.address);
@@ -243,14 +255,14 @@
     ) {
       emit('leadership-failed', {epoch});
       await sleep(clock, RETRY_MS);
-    } else if (term === before) {
+    } else if (term === previous) {
       const remembered =
-        before === null ? NO_ASSIGNMENTS : recallAssignments(before);
+        previous === null ? NO_ASSIGNMENTS : recallAssignments(previous);
       const inherited = mergeAssignments(epoch, stored, remembered);
-      if (before !== null) stopServices(before);
+      if (previous !== null) stopServices(previous);
       confirmedAt = askedAt;
       emit('leadership-began', {
-        ...{epoch, tables: stored.length, before: before?.epoch ?? null},
+        ...{epoch, tables: stored.length, before: previous?.epoch ?? null},
         remembered: remembered.size,
       });
       term = {epoch, inherited, services: new Map(), fence: 1};
@@ -266,33 +278,33 @@
   };
 
   /**
-   * Goes on in a new term after the store lost this one's: only this router
-   * knows of what was recorded since the copy.
+   * Starts a new term after the store was restored and lost the current one:
+   * only this router knows what was recorded after the backup was taken.
    */
-  const continueInNewTerm = async (own: Term): Promise<void> => {
+  const continueInNewTerm = async (ownTerm: Term): Promise<void> => {
     if (isStarting) return;
-    while (term === own && isStoreRestoredSince(own) && hasAuthority())
-      await beginTerm(own);
+    while (term === ownTerm && isStoreRestoredSince(ownTerm) && hasAuthority())
+      await beginTerm(ownTerm);
   };
 
-  const check = async (own: Term): Promise<void> => {
+  const confirmTerm = async (ownTerm: Term): Promise<void> => {
     const askedAt = cfg.suspendAwareNow();
     const isNewest = await platform.ledger.isNewest();
-    if (term !== own) return;
-    if (isStoreRestoredSince(own)) return void continueInNewTerm(own);
+    if (term !== ownTerm) return;
+    if (isStoreRestoredSince(ownTerm)) return void continueInNewTerm(ownTerm);
     if (isNewest === true) confirmedAt = Math.max(confirmedAt, askedAt);
     if (isNewest === false) endTerm('replaced');
   };
 
-  const checkPeriodically = async (own: Term): Promise<void> => {
-    while (term === own) {
+  const checkPeriodically = async (ownTerm: Term): Promise<void> => {
+    while (term === ownTerm) {
       await sleep(clock, TERM_CHECK_MS);
-      if (term === own) await check(own);
+      if (term === ownTerm) await confirmTerm(ownTerm);
     }
   };
 
-  history.subscribe((_epoch, before) => {
-    hasSeenRestore ||= before !== null;
+  history.subscribe((_epoch, previous) => {
+    hasSeenRestore ||= previous !== null;
     if (term !== null) void continueInNewTerm(term);
   });
 
@@ -302,7 +314,7 @@
     epoch: () => term?.epoch ?? null,
     observeTerm(epoch) {
       if (term === null || epoch <= term.epoch) return;
-      // One that began since a restore knows less than this router.
+      // A term that began after a restore knows less than this router.
       if (storeEpochOfTerm(epoch) > storeEpochOfTerm(term.epoch)) {
         return void continueInNewTerm(term);
       }
@@ -310,8 +322,13 @@
     },
     tables() {
       if (term === null) return null;
-      const leads = [...term.services.values()];
-      return new Map(leads.map(lead => [lead.service, lead.served()]));
+      const serviceLeaders = [...term.services.values()];
+      return new Map(
+        serviceLeaders.map(serviceLeader => [
+          serviceLeader.service,
+          serviceLeader.served(),
+        ]),
+      );
     },
     version: () => `${cfg.boot}-${tablesRevision}`,
     async startTerm() {
@@ -319,7 +336,7 @@
       return term !== null;
     },
     checkTerm() {
-      if (term !== null) void check(term);
+      if (term !== null) void confirmTerm(term);
     },
     resign() {
       confirmedAt = -Infinity;
--- a/packages/gateway/src/link-broadcaster.ts
+++ b/packages/gateway/src/link-broadcaster.ts
@@ -23,7 +23,7 @@
 } from './host-capacity.js';
 import type {ServerList} from './server-list.js';
 
-/** What telling the other routers needs. */
+/** What sending state to the followers needs. */
 export interface BroadcasterConfig {
   readonly clock: Clock;
   readonly leadership: Leadership;
@@ -31,59 +31,61 @@
   readonly suspects: Pick<Suspects, 'rows'>;
   readonly limits: Pick<ServerLimits, 'rows'>;
   configCursor(): number | null;
-  /** The newest version that this router knows, and its cursor. */
+  /** The newest version that this router knows. */
   config(): WireConfig | null;
-  /** Since when it knows of nothing newer, in ms. */
+  /** Time since it confirmed that nothing is newer, in ms. */
   configAgeMs(): number;
-  /** Since when this router had no answer of the platform, in ms. */
+  /** Time since this router last reached the platform, in ms. */
   contactAgeMs(): number;
-  /** What this router's host has for leading. */
+  /** Capacity of this router's host. */
   readonly room: HostCapacity;
 }
 
-/** A router that is told. */
+/** A follower that receives the state. */
 export interface Subscriber {
   readonly stream: {write(message: EncodedMessage): unknown};
-  /** What it was told last; null until all was told once. */
+  /** The state sent last; null until the full state was sent. */
   lastSent: SharedState | null;
-  /** Of the list as it knew it when it came; null: not at all. */
+  /** Digest of the server list that it had when it connected; null if none. */
   listDigest: string | null;
-  /** Who it is; null until it said so. */
+  /** Its `hello`; null until received. */
   candidate: Candidate | null;
-  /** It may still say who it is, and what it knows. */
+  /** Whether its `hello`, with what it knows, may still arrive. */
   awaitsHello: boolean;
 }
 
-/** Tells other routers what this one, their leader, knows. */
+/** Sends the leader's state to the followers. */
 export interface StateBroadcaster {
-  /** Tells some of `all` that listen. */
+  /** Sends the state, or what changed in it, to some of `all`. */
   send(some: Iterable<Subscriber>, all: Iterable<Subscriber>): void;
-  /** Another heartbeat: the link has room again. */
+  /** Renews the bandwidth budget for full states; called at each heartbeat. */
   onHeartbeat(all: Iterable<Subscriber>): void;
 }
 
 /**
- * Routers get changed tables this often at the most, in ms, and less often the
- * more they are: they use them only while they can't hear the leader, and each
- * costs kilobytes to each of them.
+ * Minimum interval between changed tables, in ms; it grows with the number of
+ * routers. Followers use tables only while they have no leader, and each update
+ * costs kilobytes per follower.
  */
 const MIN_TABLES_INTERVAL_MS = 1_000;
 const TABLES_INTERVAL_PER_ROUTER_MS = 15;
 
 /**
- * A configuration is passed on where that takes the leader's link this long at
- * the most, in ms; else routers read it themselves, as fast as without it.
+ * A configuration is relayed if that occupies the leader's network link for at
+ * most this time, in ms. Otherwise followers read it from the platform, which is
+ * as fast as without a leader.
  */
 const MAX_RELAY_MS = 400;
 
 /**
- * Routers that just came are told all that there is, some tens of kilobytes
- * each, in this share of the leader's link. Told at once, 77 of them waited
- * four seconds on a link of 10 Mbit/s, and left for its silence.
+ * Share of the leader's network link for full states, which new followers get and
+ * which take tens of kilobytes each. Without the limit, 77 routers that connected
+ * at once waited four seconds on a 10 Mbit/s link, and left as the leader timed
+ * out.
  */
 const FULL_STATE_LINK_SHARE = 0.4;
 
-/** A router that just came. */
+/** Creates the subscriber for a new stream. */
 export function createSubscriber(stream: Subscriber['stream']): Subscriber {
   return {
     ...{
@@ -97,13 +99,14 @@
 }
 
 /**
- * Makes the teller. Those that were told all once get changes; those that came
- * get all, as far as the link allows, and a brief heartbeat until then.
+ * Creates the broadcaster. Subscribers that have the full state get changes. New
+ * ones get the full state as soon as the bandwidth budget allows, and heartbeats
+ * with only the deputies until then.
  *
  * @example
  * ```ts
- * const teller = createTeller(cfg);
- * teller.tell(followers, followers);
+ * const broadcaster = createStateBroadcaster(cfg);
+ * broadcaster.send(followers, followers);
  * ```
  */
 export function createStateBroadcaster(
@@ -116,56 +119,57 @@
     send(some, all) {
       const candidates = [...all].map(({candidate}) => candidate);
       const next = shared.current(candidates.flatMap(each => each ?? []));
-      const about = {routers: candidates.length + 1};
+      const totals = {routers: candidates.length + 1};
       const changes = new Map<SharedState, EncodedMessage>();
       const {deputies} = next;
-      const brief = encodeLazily(() => ({
-        ...heartbeatState(cfg, about),
+      const heartbeat = encodeLazily(() => ({
+        ...heartbeatState(cfg, totals),
         deputies,
       }));
-      const whole = encodeLazily(() =>
-        stateSince(cfg, NOTHING_KNOWN, next, about),
+      const fullState = encodeLazily(() =>
+        stateSince(cfg, NOTHING_KNOWN, next, totals),
       );
-      const known = encodeLazily(() =>
-        stateSince(cfg, {...NOTHING_KNOWN, servers: next.servers}, next, about),
+      const fullStateWithoutList = encodeLazily(() =>
+        stateSince(
+          cfg,
+          {...NOTHING_KNOWN, servers: next.servers},
+          next,
+          totals,
+        ),
       );
-      for (const listener of some) {
-        const {
-          lastSent: told,
-          stream,
-          candidate,
-          listDigest,
-          awaitsHello: isNew,
-        } = listener;
-        if (candidate === null && isNew) continue;
-        if (told !== null) {
-          const message = changes.get(told) ?? {
-            bytes: encode(stateSince(cfg, told, next, about)),
+      for (const subscriber of some) {
+        const {lastSent, stream, candidate, listDigest, awaitsHello} =
+          subscriber;
+        if (candidate === null && awaitsHello) continue;
+        if (lastSent !== null) {
+          const message = changes.get(lastSent) ?? {
+            bytes: encode(stateSince(cfg, lastSent, next, totals)),
           };
-          changes.set(told, message);
-          listener.lastSent = next;
+          changes.set(lastSent, message);
+          subscriber.lastSent = next;
           stream.write(message);
           continue;
         }
         if (budget <= 0) {
-          stream.write(brief());
+          stream.write(heartbeat());
           continue;
         }
-        const message = listDigest === next.listDigest ? known() : whole();
+        const message =
+          listDigest === next.listDigest ? fullStateWithoutList() : fullState();
         budget -= message.bytes.length;
-        listener.lastSent = next;
+        subscriber.lastSent = next;
         stream.write(message);
       }
     },
     onHeartbeat(all) {
       budget = fullStateBudget(cfg.room);
-      // One that says nothing by now is told all the same.
-      for (const listener of all) listener.awaitsHello = false;
+      // A follower whose `hello` hasn't arrived by now gets the state anyway.
+      for (const subscriber of all) subscriber.awaitsHello = false;
     },
   };
 }
 
-/** What all routers are told, as it was at one time. */
+/** The state for all followers at one point in time. */
 export interface SharedState {
   readonly tables: ServedTables;
   readonly tablesVersion: string;
@@ -178,9 +182,9 @@
   readonly limits: readonly LimitRow[];
 }
 
-/** Keeps what routers are told; the same object while nothing changed. */
+/** Tracks the state for followers; returns the same object until it changes. */
 function createSharedState(cfg: BroadcasterConfig): {
-  /** `candidates`: those that could lead next. */
+  /** `candidates` are the routers that may lead next. */
   current(candidates: readonly Candidate[]): SharedState;
 } {
   const {leadership, list, clock, config} = cfg;
@@ -195,7 +199,7 @@
     suspects: [],
     limits: NO_LIMITS,
   };
-  let tablesAt = -Infinity;
+  let tablesUpdatedAt = -Infinity;
   let suspectRows: readonly Suspect[] = [];
 
   const updateTables = (routers: number): void => {
@@ -204,12 +208,12 @@
     const now = clock.now();
     if (tables === null || tablesVersion === shared.tablesVersion) return;
     if (
-      now - tablesAt <
+      now - tablesUpdatedAt <
       Math.max(MIN_TABLES_INTERVAL_MS, routers * TABLES_INTERVAL_PER_ROUTER_MS)
     ) {
       return;
     }
-    tablesAt = now;
+    tablesUpdatedAt = now;
     shared = {...shared, tables, tablesVersion};
   };
 
@@ -232,10 +236,10 @@
     const rows = cfg.suspects.rows();
     if (rows === suspectRows) return;
     suspectRows = rows;
-    const told = new Set(shared.suspects.map(({content}) => content));
-    // What was told once is told of its clearing, too.
+    const sentDigests = new Set(shared.suspects.map(({content}) => content));
+    // Rows that were sent before are also sent when they are cleared.
     const suspects = rows.filter(
-      row => isWorthTelling(row) || told.has(row.content),
+      row => isWorthTelling(row) || sentDigests.has(row.content),
     );
     if (!hasSameRows(suspects, shared.suspects)) shared = {...shared, suspects};
   };
@@ -249,7 +253,7 @@
     const deputies = pickDeputies(candidates);
     const isKnown =
       deputies.length === shared.deputies.length &&
-      deputies.every((each, at) => each === shared.deputies[at]);
+      deputies.every((each, i) => each === shared.deputies[i]);
     if (!isKnown) shared = {...shared, deputies};
   };
 
@@ -267,7 +271,7 @@
 }
 
 function hasSameRows(a: readonly Suspect[], b: readonly Suspect[]): boolean {
-  return a.length === b.length && a.every((row, at) => row === b[at]);
+  return a.length === b.length && a.every((row, i) => row === b[i]);
 }
 
 function hasSameLimits(
@@ -276,14 +280,13 @@
 ): boolean {
   if (a.length !== b.length) return false;
   return a.every(
-    ([server, perSecond], at) =>
-      server === b[at]![0] && perSecond === b[at]![1],
+    ([server, perSecond], i) => server === b[i]![0] && perSecond === b[i]![1],
   );
 }
 
 const NO_LIMITS: readonly LimitRow[] = [];
 
-/** What a router knows that was told nothing. */
+/** The state known to a router that was sent nothing. */
 const NOTHING_KNOWN = {
   tables: new Map() as ServedTables,
   servers: null,
@@ -293,12 +296,12 @@
   limits: NO_LIMITS,
 } as const;
 
-/** What is told of all routers. */
+/** Totals over all routers. */
 interface RouterTotals {
   readonly routers: number;
 }
 
-/** What a router knows; null where it was told nothing of it. */
+/** The state that a router has; null for parts that it was never sent. */
 type KnownState = Pick<
   SharedState,
   'tables' | 'config' | 'suspects' | 'limits'
@@ -307,39 +310,35 @@
   readonly deputies: SharedState['deputies'] | null;
 };
 
+/** The changes from what a router knows to the next state. */
 function stateSince(
   cfg: BroadcasterConfig,
-  told: KnownState,
+  known: KnownState,
   next: SharedState,
-  about: RouterTotals,
+  totals: RouterTotals,
 ): StateMessage {
   const {list, room} = cfg;
-  const isNews = told.config !== next.config;
-  const {routers} = about;
-  const known = new Set(told.suspects);
-  const suspects = next.suspects.filter(row => !known.has(row));
+  const isNewConfig = known.config !== next.config;
+  const {routers} = totals;
+  const knownRows = new Set(known.suspects);
+  const suspects = next.suspects.filter(row => !knownRows.has(row));
   return {
-    ...heartbeatState(cfg, about),
-    tables: diffTables(told.tables, next.tables),
-    list: diffList(told.servers, next.servers),
+    ...heartbeatState(cfg, totals),
+    tables: diffTables(known.tables, next.tables),
+    list: diffList(known.servers, next.servers),
     listCursor: list.snapshot()?.cursor ?? null,
-    config: isNews && fitsLink(next.config, room, routers) ? next.config : null,
-    deputies: told.deputies === next.deputies ? null : next.deputies,
+    config:
+      isNewConfig && fitsLink(next.config, room, routers) ? next.config : null,
+    deputies: known.deputies === next.deputies ? null : next.deputies,
     ...(suspects.length > 0 && {suspects}),
-    ...(told.limits !== next.limits && {limits: next.limits}),
+    ...(known.limits !== next.limits && {limits: next.limits}),
   };
 }
 
-/** Shows that the leader is there, for one that was not told the rest yet. */
+/** A heartbeat without state. */
 function heartbeatState(
-  {
-    list,
-    config,
-    configCursor,
-    configAgeMs,
-    contactAgeMs: touchMs,
-  }: BroadcasterConfig,
-  about: RouterTotals,
+  {list, config, configCursor, configAgeMs, contactAgeMs}: BroadcasterConfig,
+  totals: RouterTotals,
 ): StateMessage {
   return {
     ...{kind: 'state', tables: null, list: null, listCursor: null},
@@ -348,23 +347,23 @@
     config: null,
     configAgeMs: Math.round(configAgeMs()),
     deputies: null,
-    ...about,
-    touchMs: Math.round(touchMs()),
+    ...totals,
+    touchMs: Math.round(contactAgeMs()),
   };
 }
 
-/** A message that is encoded once, where it is needed at all. */
+/** Returns a function that encodes the message at its first call only. */
 function encodeLazily(message: () => StateMessage): () => EncodedMessage {
   let result: EncodedMessage | null = null;
   return () => (result ??= {bytes: encode(message())});
 }
 
-/** Bytes of whole states that the link carries between two heartbeats. */
+/** Bytes of full states that may be sent between two heartbeats. */
 function fullStateBudget({linkMbps}: HostCapacity): number {
   return (linkMbps * 1_000 * HEARTBEAT_MS * FULL_STATE_LINK_SHARE) / 8;
 }
 
-/** Whether the link carries the configuration to all routers in time. */
+/** Whether the link can carry the configuration to all routers in time. */
 function fitsLink(
   config: WireConfig | null,
   {linkMbps}: HostCapacity,
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -29,77 +29,81 @@
 export interface LinkClientConfig extends FollowerState {
   readonly clock: Clock;
   readonly emit: Emit;
-  /** `ip:port` of the router that was chosen; null: unknown, or this one. */
+  /** `ip:port` of the router chosen to lead; null if unknown or this one. */
   chosenAddress(): string | null;
   isLeading(): boolean;
-  /** The term in which this router leads; null where it doesn't. */
+  /** The epoch of this router's own term; null while it doesn't lead. */
   epoch(): number | null;
-  /** Who this router is, for the leader. */
+  /** How this router identifies itself to the leader. */
   readonly self: Candidate;
-  /** The leader asks this router to lead in its place. */
+  /** Called when the leader asks this router to lead in its place. */
   onLeadershipOffered(): void;
-  /** The leader is heard no more. */
+  /** Called when the stream to the leader ended or timed out. */
   onLeaderLost(): void;
 }
 
-/** A router's end of its stream to the leader. */
+/** The follower's end of the stream to the leader. */
 export interface LinkClient extends Places {
-  /** Time since the leader was last heard, in ms. */
+  /** Time since the last message from a leader, in ms. */
   ageMs(): number;
-  /** Whom this router hears as the leader, `ip:port`; null: nobody. */
+  /** `ip:port` of the leader that this router follows; null if none. */
   leader(): string | null;
-  /** Since when the leader that is heard had no answer of the platform, ms. */
+  /**
+   * Time since the followed leader last reached the platform, in ms; null while
+   * no leader is followed.
+   */
   leaderContactAgeMs(): number | null;
-  /** Whether the leader passes on configurations, none of them missing. */
+  /** Whether the leader relays configurations, and this router has the newest. */
   relaysConfig(): boolean;
-  /** Follows whoever leads at the address; false where nobody does. */
+  /** Follows the leader at the address; false if no router leads there. */
   followAt(address: string): Promise<boolean>;
-  /** Who should lead next, as the last leader told. */
+  /** Routers that the last leader designated to lead next, the best first. */
   deputies(): readonly Candidate[];
-  /** Whether the leader works, and names others than this one. */
+  /** Whether the leader works and all its deputies are other routers. */
   hasOtherDeputies(): boolean;
-  /** Asks the router at the address to lead; whether it does. */
+  /** Asks the router at the address to lead; returns whether it does. */
   offerLeadership(address: string): Promise<boolean>;
+  /** Reports that another instance replaced the server. */
   reportReplaced(server: string): void;
-  /** Tells the leader that a server reported that it is leaving. */
+  /** Reports that a server announced that it is leaving. */
   reportLeaving(server: string): void;
-  /** Whether any leader told this router its whole state. */
+  /** Whether any leader has sent this router its full state. */
   isSynced(): boolean;
-  /** Tells the leader of requests under which servers ended. */
+  /** Reports requests during which servers crashed. */
   reportSuspects(rows: readonly Suspect[]): void;
-  /** Tells the leader of limits that servers reported to this router. */
+  /** Reports request limits that servers sent to this router. */
   reportLimits(rows: readonly LimitRow[]): void;
   stop(): void;
 }
 
-/** Somebody waits to hear whether a router leads. */
+/** A pending `followAt`. */
 interface FollowRequest {
   readonly address: string;
   settle(isLeader: boolean): void;
 }
 
-/** An address where nobody led isn't tried again for this long, in ms. */
+/** An address where no router led isn't tried again for this long, in ms. */
 const FAILED_ADDRESS_BACKOFF_MS = 500;
-/** Routers that are asked one after the other for whom they follow. */
+/** Limit of connections made in a row, each redirected by the one before. */
 const MAX_REDIRECTS = 4;
-/** Pause before the leader is tried again, in ms. */
+/** Delay before the next attempt to find the leader, in ms. */
 const RETRY_MS = 200;
-/** The last message of a stream has this time to arrive, in ms. */
+/** Time to deliver the last message of a stream before it closes, in ms. */
 const FLUSH_MS = 300;
 /**
- * The stream is looked at this often, in ms; counts go out as often. A leader's
- * silence is noticed that much later.
+ * Interval at which the stream is checked and request counts are sent, in ms. A
+ * timeout of the leader is detected up to this much later.
  */
 const STREAM_CHECK_MS = 100;
-/** A leader is looked for this often, in ms. */
+/** Interval at which a router without a leader looks for one, in ms. */
 const LEADER_SEARCH_MS = 50;
 
-/** One that is asked to lead answers within this time, in ms, or not at all. */
+/** Timeout of an offer of leadership, in ms. */
 const OFFER_TIMEOUT_MS = 600;
 
 /**
- * A leader that the platform answered within this time works, in ms: two of its
- * joins, and what the heartbeat lags.
+ * A leader that reached the platform within this time counts as working, in ms:
+ * covers two of its joins and the delay of a heartbeat.
  */
 const WORKING_CONTACT_AGE_MS = 1_000;
 
@@ -113,13 +117,14 @@
 }
 
 /**
- * Follows the leader until stopped, over a connection of its own each time:
- * what lost track of the last one would swallow a new stream on it as well.
+ * Follows the leader until stopped. Each stream uses its own connection: if a
+ * network device dropped the state of the last connection, a new stream on it
+ * would be lost as well.
  *
  * @example
  * ```ts
  * const link = followLeader(cfg);
- * const place = await link.acquire(ask, signal);
+ * const slot = await link.acquire(request, signal);
  * ```
  */
 export function followLeader(cfg: LinkClientConfig): LinkClient {
@@ -130,14 +135,14 @@
   let lastAsk = 0;
   let deputies: readonly Candidate[] = [];
   let heardAt = -Infinity;
-  /** Whom the last router that was asked follows. */
+  /** The leader that the last contacted router named. */
   let redirect: string | null = null;
-  /** A leader is looked for at this address. */
+  /** The pending `followAt`, whose address is tried next. */
   let followRequest: FollowRequest | null = null;
   let lastTryAt = -Infinity;
-  /** Addresses tried by guess since a leader was heard. */
+  /** Guessed addresses tried since a leader was last followed. */
   let guesses = 0;
-  /** Where nobody led when it was tried last. */
+  /** The last address where no router led. */
   let failedAddress = '';
   let failedAt = -Infinity;
 
@@ -150,56 +155,59 @@
   const follow = async (leader: string): Promise<void> => {
     const stub = createStub(leader);
     const stream = stub['follow']!() as LinkStream;
-    const own = createSession(stream, leader, clock.now());
-    session = own;
+    const current = createSession(stream, leader, clock.now());
+    session = current;
     const known = cfg.list.snapshot();
-    own.servers = known?.servers ?? [];
+    current.servers = known?.servers ?? [];
     const listDigest = known && digestServers(known.servers);
     const {address, room, dataCentre} = cfg.self;
     stream.write({kind: 'hello', address, room, dataCentre, listDigest});
-    const close = (): void => {
-      own.isOpen = false;
+    const markClosed = (): void => {
+      current.isOpen = false;
     };
     stream.on('data', message => {
-      own.heardAt = clock.now();
+      current.heardAt = clock.now();
       if (message.kind === 'lead') return cfg.onLeadershipOffered();
-      const {isLeader: wasLeader, isSynced: wasTold} = own;
-      handleMessage(cfg, own, message);
-      // What this router learnt of another leader, or of none.
-      if (own.isSynced && !wasTold) {
+      const {isLeader: wasLeader, isSynced: wasSynced} = current;
+      handleMessage(cfg, current, message);
+      // Reports what this router learnt from another leader or without one.
+      if (current.isSynced && !wasSynced) {
         isSynced = true;
-        sendSuspects(own, suspectsUnknownToLeader(own, cfg.suspects.rows()));
-        sendLimits(own, cfg.limits.ownRows());
-        for (const server of leavingUnknownToLeader(own, cfg.list)) {
+        sendSuspects(
+          current,
+          suspectsUnknownToLeader(current, cfg.suspects.rows()),
+        );
+        sendLimits(current, cfg.limits.ownRows());
+        for (const server of leavingUnknownToLeader(current, cfg.list)) {
           stream.write({kind: 'leaving', server});
         }
       }
-      if (!own.isLeader) return;
+      if (!current.isLeader) return;
       if (!wasLeader) cfg.emit('leader-followed', {leader});
-      heardAt = own.heardAt;
+      heardAt = current.heardAt;
       guesses = 0;
-      deputies = own.deputies;
+      deputies = current.deputies;
       settleFollowRequest(leader, true);
     });
-    stream.on('end', close);
-    stream.on('error', close);
-    while (!isStopped && isAlive(own) && !cfg.isLeading()) {
+    stream.on('end', markClosed);
+    stream.on('error', markClosed);
+    while (!isStopped && isAlive(current) && !cfg.isLeading()) {
       await sleep(clock, STREAM_CHECK_MS);
-      sendCounts(own);
+      sendCounts(current);
     }
-    endSession(own);
-    // What was written last is still on its way.
+    endSession(current);
+    // The last messages may not have been sent yet.
     clock.after(FLUSH_MS, () => stub.close());
-    if (!own.isLeader) {
+    if (!current.isLeader) {
       failedAddress = leader;
       failedAt = clock.now();
     }
     settleFollowRequest(leader, false);
-    redirect = own.redirect;
-    if (own.isLeader) cfg.onLeaderLost();
+    redirect = current.redirect;
+    if (current.isLeader) cfg.onLeaderLost();
   };
 
-  /** Tells those who wait to hear of a leader, there or anywhere else. */
+  /** Settles a pending `followAt`; any leader found satisfies it. */
   const settleFollowRequest = (address: string, isLeader: boolean): void => {
     if (
       followRequest === null ||
@@ -210,18 +218,22 @@
     followRequest = null;
   };
 
-  const endSession = (own: Session): void => {
-    own.isOpen = false;
-    if (session === own) session = null;
-    const silentMs = Math.round(clock.now() - own.heardAt);
-    const {leader, isLeader, redirect: elsewhere} = own;
+  const endSession = (current: Session): void => {
+    current.isOpen = false;
+    if (session === current) session = null;
+    const silentMs = Math.round(clock.now() - current.heardAt);
+    const {leader, isLeader, redirect: elsewhere} = current;
     cfg.emit('leader-left', {leader, isLeader, elsewhere, silentMs});
-    closeStream(own);
-    for (const settle of own.pending.values()) settle({kind: 'unavailable'});
-    own.pending.clear();
+    closeStream(current);
+    for (const settle of current.pending.values())
+      settle({kind: 'unavailable'});
+    current.pending.clear();
   };
 
-  /** One that leads now tells so: whoever led need not ask the platform. */
+  /**
+   * Closes the stream. A router that leads now announces its term first, so that
+   * the former leader need not ask the platform.
+   */
   const closeStream = ({stream, isLeader}: Session): void => {
     const epoch = cfg.epoch();
     if (epoch === null || !isLeader) return stream.cancel();
@@ -250,13 +262,13 @@
     stream.write({kind: 'counts', counts: toWireCounts(counts)});
   };
 
-  /** Whoever was chosen last, as far as is known, or should lead next. */
+  /** The router that the platform chose, or one of the deputies, in turn. */
   const guessAddress = (): string | null => {
-    const named = deputies.map(({address}) => address);
-    const known = [cfg.chosenAddress(), ...named].filter(
+    const deputyAddresses = deputies.map(({address}) => address);
+    const candidates = [cfg.chosenAddress(), ...deputyAddresses].filter(
       address => address !== null && address !== cfg.self.address,
     );
-    return known[guesses++ % known.length] ?? null;
+    return candidates[guesses++ % candidates.length] ?? null;
   };
 
   const goesOn = (): boolean => !isStopped;
@@ -265,7 +277,11 @@
     {clock, emit, name: 'link', ms: LEADER_SEARCH_MS, goesOn},
     async () => {
       if (followRequest === null && clock.now() - lastTryAt < RETRY_MS) return;
-      for (let hops = 0; hops < MAX_REDIRECTS && !cfg.isLeading(); hops++) {
+      for (
+        let redirects = 0;
+        redirects < MAX_REDIRECTS && !cfg.isLeading();
+        redirects++
+      ) {
         const leader = followRequest?.address ?? redirect ?? guessAddress();
         redirect = null;
         if (leader === null) return;
@@ -278,22 +294,22 @@
 
   return {
     acquire(ask, signal) {
-      const own = liveSession();
-      if (own === null) return Promise.resolve({kind: 'unavailable'});
-      const number = ++lastAsk;
+      const current = liveSession();
+      if (current === null) return Promise.resolve({kind: 'unavailable'});
+      const askNumber = ++lastAsk;
       return new Promise<Place>(resolve => {
-        const take = (how: 'cancelled'): void => {
-          if (!own.pending.delete(number)) return;
-          sendEnd(own, number, how, 0);
+        const release = (how: 'cancelled'): void => {
+          if (!current.pending.delete(askNumber)) return;
+          sendEnd(current, askNumber, how, 0);
           resolve({kind: 'unavailable'});
         };
-        const cancel = (): void => take('cancelled');
+        const cancel = (): void => release('cancelled');
         signal.addEventListener('abort', cancel);
-        own.pending.set(number, reply => {
+        current.pending.set(askNumber, reply => {
           signal.removeEventListener('abort', cancel);
-          resolve(toPlace(own, number, reply));
+          resolve(toPlace(current, askNumber, reply));
         });
-        own.stream.write({kind: 'ask', ask: number, place: ask});
+        current.stream.write({kind: 'ask', ask: askNumber, place: ask});
       });
     },
     ageMs: () => clock.now() - heardAt,
@@ -302,31 +318,31 @@
     relaysConfig: () => liveSession()?.relaysConfig ?? false,
     followAt(address) {
       followRequest?.settle(false);
-      const isVain =
+      const hasJustFailed =
         address === failedAddress &&
         clock.now() - failedAt < FAILED_ADDRESS_BACKOFF_MS;
-      if (isVain) return Promise.resolve(false);
+      if (hasJustFailed) return Promise.resolve(false);
       return new Promise(settle => {
         followRequest = {address, settle};
       });
     },
     deputies: () => deputies,
     hasOtherDeputies() {
-      const touchMs = liveSession()?.leaderContactAgeMs ?? Infinity;
-      if (touchMs > WORKING_CONTACT_AGE_MS || deputies.length === 0)
+      const contactAgeMs = liveSession()?.leaderContactAgeMs ?? Infinity;
+      if (contactAgeMs > WORKING_CONTACT_AGE_MS || deputies.length === 0)
         return false;
       return !deputies.some(({address}) => address === cfg.self.address);
     },
     offerLeadership(address) {
       const stub = createStub(address);
       return new Promise(resolve => {
-        const take = (err: Error | null, reply?: OfferReply): void => {
+        const onReply = (err: Error | null, reply?: OfferReply): void => {
           cancelTimer();
           stub.close();
           resolve(err === null && reply!.leads);
         };
-        const call = stub['lead']!({from: cfg.self.address}, take);
-        // The library counts deadlines by the time of day, which may jump.
+        const call = stub['lead']!({from: cfg.self.address}, onReply);
+        // gRPC computes deadlines from the wall clock, which may jump.
         const cancelTimer = clock.after(OFFER_TIMEOUT_MS, () => call.cancel());
       });
     },
--- a/packages/gateway/src/link-codec.ts
+++ b/packages/gateway/src/link-codec.ts
@@ -6,23 +6,26 @@
 } from './link-messages.js';
 
 /**
- * Bytes of messages. Those of each request are lists of values, in the order
- * given below, behind a letter; all others are objects by their names.
+ * Encodes messages as JSON. Messages that are sent for each request are arrays
+ * to keep them small: a letter for the kind, then the values in the order below.
+ * All others are objects.
  */
 
 /**
- * `ask`, id, service, key, priority, time left, time to the aim, time that it
- * was asked for, trial or nothing, excluded.
+ * Kind, `ask`, id, service, key, priority, time left until the deadline, time
+ * left until the target latency, retry age, trial or an empty string, excluded
+ * servers.
  */
 type AskRow = [
   ...['a', number, string, string, number | null, number],
   ...[number, number, number, string, ...string[]],
 ];
+/** Kind, `ask`, outcome, time taken. */
 type EndRow = ['e', number, PlaceEnd, number];
-/** A server that was granted, or another reply. */
+/** Kind, `ask`, and the server of the granted slot or another reply. */
 type ReplyRow = ['r', number, string | Exclude<PlaceReply, {kind: 'granted'}>];
 
-/** The bytes of a message. */
+/** Encodes a message as a JSON object. */
 export function encode(message: object): Buffer {
   return Buffer.from(JSON.stringify(message));
 }
@@ -31,7 +34,7 @@
   return JSON.parse(bytes.toString('utf8'));
 }
 
-/** What a router sends. */
+/** Encodes a message from a follower. */
 export function encodeFollower(message: FollowerMessage): Buffer {
   if (message.kind === 'ask') {
     const {id, service, key, priority, excluded, trial} = message.place;
@@ -51,15 +54,15 @@
   return encode(message);
 }
 
-/** What a router sent; it says itself where it stands. */
+/** Decodes a message from a follower. */
 export function decodeFollower(bytes: Buffer): FollowerMessage {
-  const read = decode(bytes) as FollowerMessage | AskRow | EndRow;
-  if (!Array.isArray(read)) return read;
-  if (read[0] === 'e') {
-    const [, ask, how, tookMs] = read;
+  const decoded = decode(bytes) as FollowerMessage | AskRow | EndRow;
+  if (!Array.isArray(decoded)) return decoded;
+  if (decoded[0] === 'e') {
+    const [, ask, how, tookMs] = decoded;
     return {kind: 'end', ask, how, tookMs};
   }
-  const [, ask, id, service, key, priority, ...times] = read;
+  const [, ask, id, service, key, priority, ...times] = decoded;
   const [leftMs, aimLeftMs, askedMs, trial, ...excluded] = times;
   const limits = {leftMs, aimLeftMs, askedMs};
   const place = {
@@ -69,20 +72,21 @@
   return {kind: 'ask', ask, place};
 }
 
-/** What the leader sends. */
+/** Encodes a message from the leader. */
 export function encodeLeader(message: LeaderMessage | EncodedMessage): Buffer {
   if ('bytes' in message) return message.bytes;
   if (message.kind !== 'reply') return encode(message);
   const {ask, reply} = message;
-  const told = reply.kind === 'granted' ? reply.server : reply;
-  return encode(['r', ask, told] satisfies ReplyRow);
+  const serverOrReply = reply.kind === 'granted' ? reply.server : reply;
+  return encode(['r', ask, serverOrReply] satisfies ReplyRow);
 }
 
-/** What the leader sent. */
+/** Decodes a message from the leader. */
 export function decodeLeader(bytes: Buffer): LeaderMessage {
-  const read = decode(bytes) as LeaderMessage | ReplyRow;
-  if (!Array.isArray(read)) return read;
-  const [, ask, told] = read;
-  if (typeof told !== 'string') return {kind: 'reply', ask, reply: told};
-  return {kind: 'reply', ask, reply: {kind: 'granted', server: told}};
+  const decoded = decode(bytes) as LeaderMessage | ReplyRow;
+  if (!Array.isArray(decoded)) return decoded;
+  const [, ask, serverOrReply] = decoded;
+  if (typeof serverOrReply !== 'string')
+    return {kind: 'reply', ask, reply: serverOrReply};
+  return {kind: 'reply', ask, reply: {kind: 'granted', server: serverOrReply}};
 }
--- a/packages/gateway/src/link-config.ts
+++ b/packages/gateway/src/link-config.ts
@@ -5,17 +5,17 @@
   ServiceConfig,
 } from '@banyandrum/routing/config.js';
 
-/** A configuration as it travels between routers. */
+/** A configuration in the format in which routers exchange it. */
 export interface WireConfig {
   readonly version: number;
-  /** Where it came from in the platform's log. */
+  /** Its position in the platform's log. */
   readonly cursor: number;
   readonly hosts: readonly (readonly [string, readonly Route[]])[];
   readonly services: readonly ServiceConfig[];
   readonly limits: CallerLimits;
 }
 
-/** The configuration as it travels. */
+/** Converts a configuration to wire format. */
 export function toWireConfig(
   {version, hosts, services, limits}: RoutingConfig,
   cursor: number,
@@ -27,7 +27,7 @@
   };
 }
 
-/** The configuration as it came. */
+/** Converts a configuration from wire format. */
 export function fromWireConfig({
   version,
   hosts,
--- a/packages/gateway/src/link-messages.ts
+++ b/packages/gateway/src/link-messages.ts
@@ -19,109 +19,109 @@
 } from './link-codec.js';
 import type {Candidate} from './host-capacity.js';
 
-/** An ask as it travels: its router said once where it stands. */
+/** A slot request in wire format; `hello` has the router's data centre. */
 export type LinkAsk = Omit<PlaceAsk, 'dataCentre'>;
 
-/** What a router sends to the leader. */
+/** A message from a follower to the leader. */
 export type FollowerMessage =
-  /** The first of a stream: who follows. */
+  /** The first message of a stream identifies the follower. */
   | (Candidate & {
       readonly kind: 'hello';
-      /** Of the list of servers as it knows it; null: not at all. */
+      /** Digest of the server list that it has; null if it has none. */
       readonly listDigest: string | null;
     })
-  /** Looks for a place; `ask` numbers it within the stream. */
+  /** Requests a slot; `ask` identifies the request within the stream. */
   | {readonly kind: 'ask'; readonly ask: number; readonly place: LinkAsk}
-  /** Gives the place back, or takes back the ask. */
+  /** Releases the slot, or cancels the request for one. */
   | {
       readonly kind: 'end';
       readonly ask: number;
       readonly how: PlaceEnd;
       readonly tookMs: number;
     }
-  /** The last of one that leads now; its term. */
+  /** The last message of a router that leads now, with its term's epoch. */
   | {readonly kind: 'leading'; readonly epoch: number}
-  /** Requests that it placed by itself: service, then key and count. */
+  /** Number of requests that it routed by its own tables, by service and key. */
   | {
       readonly kind: 'counts';
       readonly counts: WireCounts;
     }
-  /** Requests under which servers ended, as this router saw it. */
+  /** Requests during which servers crashed, as this router observed it. */
   | {readonly kind: 'suspects'; readonly rows: readonly Suspect[]}
-  /** Limits that servers reported to this router. */
+  /** Request limits that servers sent to this router. */
   | {readonly kind: 'limits'; readonly rows: readonly LimitRow[]}
-  /** The server reported that it is leaving. */
+  /** The server announced that it is leaving. */
   | {readonly kind: 'leaving'; readonly server: string}
-  /** The run of a server has ended. */
+  /** Another instance replaced the server. */
   | {readonly kind: 'replaced'; readonly server: string};
 
-/** What the leader sends. */
+/** A message from the leader to a follower. */
 export type LeaderMessage =
   | {readonly kind: 'reply'; readonly ask: number; readonly reply: PlaceReply}
-  /** Whenever something changed, and as a heartbeat. */
+  /** Sent after changes and as a heartbeat. */
   | {
       readonly kind: 'state';
-      /** What changed since the stream's last state; all in its first. */
+      /** Changes since the stream's last state; everything in the first one. */
       readonly tables: TablesDelta | null;
       readonly list: ListDelta | null;
-      /** Null before the leader has a list, or while its link is short. */
+      /** Null while the leader has no list or no bandwidth to send it. */
       readonly listCursor: number | null;
       readonly listAgeMs: number;
-      /** Where its configuration came from in the platform's log; null: none. */
+      /** Log position of its configuration; null if it has none. */
       readonly configCursor: number | null;
-      /** A version that is news to the follower, where it fits the link. */
+      /** A version that the follower doesn't have, if the link has bandwidth. */
       readonly config: WireConfig | null;
-      /** Since when the leader knows of nothing newer, in ms. */
+      /** Time since the leader confirmed that nothing is newer, in ms. */
       readonly configAgeMs: number;
       /**
-       * Routers with the most room, the best first: who should lead next. Null
-       * where they are those of the stream's last state.
+       * Routers designated to lead next, the best first. Null if they are the
+       * same as in the stream's last state.
        */
       readonly deputies: readonly Candidate[] | null;
-      /** Rows that changed since the stream's last state, if any did. */
+      /** Rows that changed since the stream's last state, if any. */
       readonly suspects?: readonly Suspect[];
       /** All limits, if any changed since the stream's last state. */
       readonly limits?: readonly LimitRow[];
-      /** Routers that follow the leader, and itself. */
+      /** Number of followers plus the leader. */
       readonly routers: number;
-      /** Since when the leader had no answer of the platform, in ms. */
+      /** Time since the leader last reached the platform, in ms. */
       readonly touchMs: number;
     }
-  /** The leader would rather be led by this router, which has more room. */
+  /** Asks this router, whose host has more capacity, to lead. */
   | {readonly kind: 'lead'}
-  /** The last message of one that doesn't lead: whom it follows, if any. */
+  /** Last message of a router that doesn't lead: the leader it follows, if any. */
   | {readonly kind: 'elsewhere'; readonly leader: string | null};
 
-/** A message that was encoded once for many streams. */
+/** A message that is encoded once for many streams. */
 export interface EncodedMessage {
   readonly bytes: Buffer;
 }
 
 export type StateMessage = Extract<LeaderMessage, {kind: 'state'}>;
 
-/** Counts by service: keys and counts in turn. */
+/** Request counts by service, as alternating keys and counts. */
 export type WireCounts = Readonly<Record<string, readonly number[]>>;
 
-/** The leader tells its state this often at least, in ms. */
+/** Maximum interval between two states that the leader sends, in ms. */
 export const HEARTBEAT_MS = 200;
 /**
- * A leader that is silent for so long is left, in ms: requests that wait for
- * its answer still have time to be placed without it.
+ * A follower closes the stream after this time without a message, in ms. Requests
+ * that wait for a reply can then still be routed without the leader in time.
  */
 export const LEADER_TIMEOUT_MS = 600;
 
-/** A router that could lead asks one with more room to do it. */
+/** A router that may lead offers leadership to one with more capacity. */
 export interface Offer {
-  /** Who asks, `ip:port`. */
+  /** The address of the offering router, `ip:port`. */
   readonly from: string;
 }
 
-/** Whether the other one leads now. */
+/** Whether the router that got the offer leads now. */
 export interface OfferReply {
   readonly leads: boolean;
 }
 
-/** What routers ask of each other: one stream, and one question. */
+/** The gRPC service between routers: the leader stream and the offer. */
 export const LINK_SERVICE = {
   follow: {
     path: '/banyandrum.Link/Follow',
@@ -143,20 +143,20 @@
   },
 } as const satisfies ServiceDefinition;
 
-/** Counts as they travel. */
+/** Converts request counts to wire format. */
 export function toWireCounts(counts: KeyCounts): WireCounts {
   const pairs: Record<string, readonly number[]> = {};
   for (const [service, keys] of counts) pairs[service] = [...keys].flat();
   return pairs;
 }
 
-/** Counts as they came. */
+/** Converts request counts from wire format. */
 export function fromWireCounts(counts: WireCounts): KeyCounts {
   const result = new Map<string, Map<number, number>>();
   for (const [service, pairs] of Object.entries(counts)) {
     const keys = new Map<number, number>();
-    for (let at = 0; at + 1 < pairs.length; at += 2) {
-      keys.set(pairs[at]!, pairs[at + 1]!);
+    for (let i = 0; i + 1 < pairs.length; i += 2) {
+      keys.set(pairs[i]!, pairs[i + 1]!);
     }
     result.set(service, keys);
   }
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -27,7 +27,7 @@
 } from './link-broadcaster.js';
 import {pickLargestHost, type Candidate} from './host-capacity.js';
 
-/** What serving the other routers needs. */
+/** What serving followers needs. */
 export interface LinkServerConfig extends BroadcasterConfig {
   /** `ip:port`. */
   readonly listen: string;
@@ -35,28 +35,29 @@
   readonly issuer: PlaceIssuer;
   readonly suspects: Suspects;
   readonly limits: ServerLimits;
-  /** Whom this router follows, `ip:port`; null: nobody. */
+  /** `ip:port` of the leader that this router follows; null if none. */
   leader(): string | null;
+  /** A follower reported that another instance replaced the server. */
   noteReplaced(server: string): void;
-  /** A server reported to a follower that it is leaving. */
+  /** A follower reported that the server announced that it is leaving. */
   noteLeaving(server: string): void;
-  /** Another router asks this one to lead; whether it does then. */
+  /** Another router offers leadership; resolves to whether a router leads then. */
   onLeadershipOffered(): Promise<boolean>;
-  /** A router asked for a place for the key. */
+  /** A follower requested a slot for the key. */
   noteRequest(service: string, key: number): void;
 }
 
 /** The leader's end of the streams. */
 export interface LinkServer {
-  /** Routers that follow this one. */
+  /** Number of routers that follow this one. */
   followers(): number;
   close(): void;
 }
 
 /**
- * A router's connection that went silent without an end is closed, in ms: the
- * places in use on it would never come back, and with them the servers' slots.
- * By the time that this takes, most requests there have come to their end.
+ * Interval and timeout of keepalive pings, in ms, which close connections that
+ * failed without being closed. Otherwise the slots allocated over them would never
+ * be released. Most requests that use these slots have completed by then.
  */
 const KEEPALIVE_MS = 2_000;
 const KEEPALIVE_TIMEOUT_MS = 1_500;
@@ -69,23 +70,23 @@
 
 interface Follower extends Subscriber {
   readonly stream: Stream;
-  /** Asks that wait and places that are in use, by number. */
+  /** Releases pending requests and allocated slots, by ask number. */
   readonly asks: Map<number, EndSlot>;
-  /** It was asked to lead, and has not begun. */
+  /** Whether it was asked to lead. */
   wasOfferedLeadership: boolean;
-  /** It leads now, by its own word. */
+  /** Whether it reported that it leads now. */
   hasStartedTerm: boolean;
 }
 
 /**
- * One that was asked to lead has this time for it, in ms, before another is
- * asked: two joins of its first exchange with a platform that is slow.
+ * Minimum interval between offers of leadership, in ms. Gives a router time for
+ * two joins of its first exchange with a slow platform before another is asked.
  */
 const OFFER_INTERVAL_MS = 3_000;
 
 /**
- * Serves the other routers while this one leads: places, and the state they
- * route by. Streams end when it doesn't lead any more.
+ * Serves followers while this router leads: allocates slots and sends the state by
+ * which they route. The streams end when this router no longer leads.
  *
  * @example
  * ```ts
@@ -106,8 +107,8 @@
     if (cfg.leadership.isLeading()) {
       return broadcaster.send(followers, followers);
     }
-    const next = [...followers].find(({hasStartedTerm: hasBegun}) => hasBegun);
-    const leader = next?.candidate?.address ?? cfg.leader();
+    const successor = [...followers].find(({hasStartedTerm}) => hasStartedTerm);
+    const leader = successor?.candidate?.address ?? cfg.leader();
     for (const {stream} of followers) {
       stream.write({kind: 'elsewhere', leader});
       stream.end();
@@ -137,7 +138,8 @@
     if (!cfg.leadership.isLeading()) sendToAll();
   });
   cfg.list.subscribe(sendToAll);
-  // A server that ends strikes all requests that it ran, by several routers.
+  // A crash adds strikes to all requests at the server, from several routers:
+  // their notifications are coalesced.
   const notifier = createGathered(cfg.clock, sendToAll);
   cfg.suspects.subscribe(() => notifier.later());
   cfg.limits.subscribe(() => notifier.later());
@@ -167,9 +169,9 @@
     followers.add(follower);
     const leave = (): void => {
       if (!followers.delete(follower)) return;
-      for (const takeBack of follower.asks.values()) takeBack('cancelled', 0);
+      for (const endSlot of follower.asks.values()) endSlot('cancelled', 0);
       follower.asks.clear();
-      // It stops following as it begins to lead.
+      // A router that starts to lead stops following.
       if (follower.wasOfferedLeadership) cfg.leadership.checkTerm();
     };
     stream.on('data', message => handleMessage(ctx, follower, message));
@@ -177,7 +179,7 @@
       leave();
       stream.end();
     });
-    // A stream that breaks off also ends; its router comes back by itself.
+    // A stream that fails also ends; its router reconnects by itself.
     stream.on('error', leave);
     stream.on('cancelled', leave);
   };
@@ -206,14 +208,15 @@
   followers: Iterable<Follower>,
 ): Iterable<Candidate & {readonly follower: Follower}> {
   for (const follower of followers) {
-    const {candidate, wasOfferedLeadership: wasAsked} = follower;
-    if (candidate !== null && !wasAsked) yield {...candidate, follower};
+    const {candidate, wasOfferedLeadership} = follower;
+    if (candidate !== null && !wasOfferedLeadership)
+      yield {...candidate, follower};
   }
 }
 
-/** What messages of routers are taken with. */
+/** What the message handlers use. */
 interface HandlerContext extends LinkServerConfig {
-  /** A router said who it is. */
+  /** A follower identified itself. */
   onHello(follower: Follower): void;
 }
 
@@ -226,10 +229,10 @@
 };
 
 const MESSAGE_HANDLERS: MessageHandlers = {
-  hello({onHello: greet}, follower, {address, room, dataCentre, listDigest}) {
+  hello({onHello}, follower, {address, room, dataCentre, listDigest}) {
     follower.candidate = {address, room, dataCentre};
     follower.listDigest = listDigest;
-    greet(follower);
+    onHello(follower);
   },
   leading({leadership}, follower, {epoch}) {
     follower.hasStartedTerm = true;
@@ -243,12 +246,12 @@
     if (place.key !== null) cfg.noteRequest(place.service, place.key);
     let isRefused = false;
     const dataCentre = candidate?.dataCentre ?? '';
-    const takeBack = cfg.issuer.ask({...place, dataCentre}, reply => {
+    const endSlot = cfg.issuer.ask({...place, dataCentre}, reply => {
       isRefused = reply.kind !== 'granted';
       if (isRefused) asks.delete(ask);
       stream.write({kind: 'reply', ask, reply});
     });
-    if (!isRefused) asks.set(ask, takeBack);
+    if (!isRefused) asks.set(ask, endSlot);
   },
   end(_cfg, {asks}, {ask, how, tookMs}) {
     asks.get(ask)?.(how, tookMs);
@@ -276,8 +279,8 @@
   follower: Follower,
   message: FollowerMessage,
 ): void {
-  const taker = MESSAGE_HANDLERS[
+  const handler = MESSAGE_HANDLERS[
     message.kind
   ] as MessageHandlers[FollowerMessage['kind']];
-  taker(ctx, follower, message as never);
+  handler(ctx, follower, message as never);
 }
--- a/packages/gateway/src/link-session.ts
+++ b/packages/gateway/src/link-session.ts
@@ -17,7 +17,7 @@
 import type {Candidate} from './host-capacity.js';
 import type {ServerList} from './server-list.js';
 
-/** What the leader's state changes in this router. */
+/** The parts of a follower that the leader's messages update. */
 export interface FollowerState {
   readonly owners: KeyOwners;
   readonly list: ServerList;
@@ -25,47 +25,48 @@
   readonly limits: ServerLimits;
   onConfigCursor(cursor: number): void;
   applyConfig(config: RoutingConfig, cursor: number): void;
-  /** Up to where this router knows the platform's configurations. */
+  /** Up to where this router has read the platform's configurations. */
   configCursor(): number | null;
-  /** Routers at work, as the leader counts them. */
+  /** Sets the number of working routers as the leader counts them. */
   setRouterCount(count: number): void;
 }
 
 /**
- * A leader whose reads of the configuration confirmed nothing for so long may
- * miss a version, in ms: a short waiting read and its answer. A version must be
- * in force 2 s after it was accepted, one read of this router's own included.
+ * A leader whose last read of the configuration is older than this may have
+ * missed a version, in ms: covers a short waiting read and its response. A
+ * version must be in force 2 s after it was accepted, which includes one read by
+ * this router itself.
  */
 const MAX_RELAY_AGE_MS = 1_200;
 
 /** A stream to a router that may lead. */
 export type LinkStream = ClientDuplexStream<FollowerMessage, LeaderMessage>;
 
-/** A stream and what waits on it. */
+/** A stream and its pending requests. */
 export interface Session {
   readonly stream: LinkStream;
   readonly leader: string;
   readonly pending: Map<number, (reply: PlaceReply) => void>;
-  /** As this leader told them, by changes from one state to the next. */
+  /** Tables and servers as this leader sent them, kept to apply its deltas. */
   tables: ServedTables;
   servers: readonly ServerInfo[];
-  /** Rows of requests under which servers ended, by content. */
+  /** Rows of requests during which servers crashed, by content digest. */
   readonly suspects: Map<string, Suspect>;
-  /** Whether it told its whole state. */
+  /** Whether the leader has sent its full state. */
   isSynced: boolean;
   heardAt: number;
-  /** Whether it showed that it leads. */
+  /** Whether the other router has shown that it leads. */
   isLeader: boolean;
-  /** Whom it named in its place. */
+  /** Address of the leader that the other router named instead. */
   redirect: string | null;
   deputies: readonly Candidate[];
   leaderContactAgeMs: number;
-  /** Whether its last state left nothing to read of the configuration. */
+  /** Whether the last state made own reads of the configuration unnecessary. */
   relaysConfig: boolean;
   isOpen: boolean;
 }
 
-/** A stream on which nothing was heard yet. */
+/** Creates the session of a stream without any message yet. */
 export function createSession(
   stream: LinkStream,
   leader: string,
@@ -89,7 +90,7 @@
   };
 }
 
-/** A reply as the request gets it. */
+/** Converts a reply to the result for the request that waits for it. */
 export function toPlace(
   session: Session,
   number: number,
@@ -103,7 +104,7 @@
   };
 }
 
-/** What this router knows of suspected requests, and the leader did not tell. */
+/** Rows with information that the leader hasn't sent, so may not have. */
 export function suspectsUnknownToLeader(
   {suspects}: Session,
   rows: readonly Suspect[],
@@ -114,7 +115,7 @@
   });
 }
 
-/** Servers known here to be leaving that the leader did not list as such. */
+/** Servers known here to be leaving that the leader lists as not leaving. */
 export function leavingUnknownToLeader(
   {servers}: Session,
   list: ServerList,
@@ -127,7 +128,7 @@
     .map(({id}) => id);
 }
 
-/** Gives a place back, or takes back an ask. */
+/** Releases a slot, or cancels a request for one. */
 export function sendEnd(
   {stream, isOpen}: Session,
   ask: number,
@@ -138,7 +139,7 @@
   stream.write({kind: 'end', ask, how, tookMs: Math.round(tookMs)});
 }
 
-/** Takes what the other end of the stream told. */
+/** Handles a message from the other end of the stream. */
 export function handleMessage(
   cfg: FollowerState,
   session: Session,
@@ -152,7 +153,7 @@
   const settle = session.pending.get(message.ask);
   session.pending.delete(message.ask);
   if (settle !== undefined) return settle(message.reply);
-  // Its request was given up meanwhile: the place goes back unused.
+  // The request was cancelled meanwhile; its slot is released unused.
   if (message.reply.kind === 'granted') {
     sendEnd(session, message.ask, 'cancelled', 0);
   }
@@ -177,7 +178,7 @@
   const {listCursor, configCursor} = state;
   if (listCursor !== null) {
     session.isSynced = true;
-    // The state was on its way for less than a heartbeat, or it would be late.
+    // Adds a heartbeat interval as an upper bound of the time in transit.
     const ageMs = state.listAgeMs + HEARTBEAT_MS;
     cfg.list.applySnapshot({cursor: listCursor, servers}, ageMs);
   }
@@ -192,7 +193,7 @@
   if (configCursor !== null) cfg.onConfigCursor(configCursor);
   session.relaysConfig =
     state.configAgeMs < MAX_RELAY_AGE_MS &&
-    // A leader that finds no configuration leaves none to read.
+    // If the leader found no configuration, there is none to read.
     (configCursor === null || (cfg.configCursor() ?? -1) >= configCursor);
   cfg.setRouterCount(state.routers);
 }
--- a/packages/gateway/src/link-state.ts
+++ b/packages/gateway/src/link-state.ts
@@ -4,24 +4,24 @@
 import type {ServedTables} from './key-owners.js';
 import {isSameServer} from './server-list.js';
 
-/** What changed in the list of servers since the last message of a stream. */
+/** Changes of the server list since the last message of a stream. */
 export interface ListDelta {
-  /** Whether `put` is the list itself. */
+  /** Whether `put` is the whole list instead of changes. */
   readonly isWhole: boolean;
   readonly put: readonly ServerInfo[];
-  /** Ids of servers that are listed no more. */
+  /** Ids of servers that are no longer listed. */
   readonly gone: readonly string[];
 }
 
-/** A range as it travels: from, to, server. */
+/** A range in wire format: from, to, server. */
 export type RangeRow = readonly [number, number, string | null];
 
-/** Ranges by service; each takes the place of those that it overlaps. */
+/** Changed ranges by service; each replaces the ranges that it overlaps. */
 export type TablesDelta = Readonly<Record<string, readonly RangeRow[]>>;
 
 /**
- * The change from one list to a later one; null where there is none. Without
- * an earlier list it is the later one itself.
+ * Returns the changes from one list to a later one, or null if there are none.
+ * Without an earlier list it returns the whole later one.
  */
 export function diffList(
   before: readonly ServerInfo[] | null,
@@ -39,7 +39,7 @@
   return put.length + gone.length === 0 ? null : {isWhole: false, put, gone};
 }
 
-/** The list after the change. */
+/** Applies changes to a list. */
 export function applyList(
   before: readonly ServerInfo[],
   {isWhole, put, gone}: ListDelta,
@@ -51,7 +51,7 @@
   return [...servers.values()];
 }
 
-/** The change from some tables to later ones; null where there is none. */
+/** Returns the changes from tables to later ones, or null if there are none. */
 export function diffTables(
   before: ServedTables,
   now: ServedTables,
@@ -66,7 +66,7 @@
   return Object.keys(delta).length === 0 ? null : delta;
 }
 
-/** The tables after the change; they are without gaps, as those before. */
+/** Applies changes to tables; the result has no gaps if `before` has none. */
 export function applyTables(
   before: ServedTables,
   delta: TablesDelta,
@@ -96,8 +96,8 @@
 }
 
 /**
- * The same for lists that hold the same entries: two routers that read the
- * platform's list at different times mostly know the same servers.
+ * Returns a digest that is independent of the order of the entries. Two routers
+ * that read the platform's list at different times mostly know the same servers.
  */
 export function digestServers(servers: readonly ServerInfo[]): string {
   const lines = servers.map(
--- a/packages/gateway/src/local-slot-provider.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -3,21 +3,21 @@
 import type {KeyOwners} from './key-owners.js';
 import type {Leadership} from './leadership.js';
 
-/** Who hands out places to this router's own requests. */
+/** Sources of slots for this router's own requests. */
 export interface LocalSlotProviderConfig {
   readonly leadership: Leadership;
   readonly issuer: PlaceIssuer;
   readonly owners: KeyOwners;
-  /** The leader, where that is another router. */
+  /** Requests slots from the leader if that is another router. */
   readonly link: Places;
 }
 
 /**
- * Places from this router where it leads, else from the leader.
+ * Allocates slots here if this router leads, else requests them from the leader.
  *
  * @example
  * ```ts
- * const places = createLocalPlaces({leadership, issuer, owners, link});
+ * const slots = createLocalSlotProvider({leadership, issuer, owners, link});
  * ```
  */
 export function createLocalSlotProvider(cfg: LocalSlotProviderConfig): Places {
@@ -28,15 +28,16 @@
       if (ask.key !== null) owners.noteRequest(ask.service, ask.key);
       return new Promise<Place>(resolve => {
         const cancel = (): void => {
-          takeBack('cancelled', 0);
+          endSlot('cancelled', 0);
           resolve({kind: 'unavailable'});
         };
         signal.addEventListener('abort', cancel);
-        const takeBack = issuer.ask(ask, reply => {
+        const endSlot = issuer.ask(ask, reply => {
           signal.removeEventListener('abort', cancel);
           if (reply.kind !== 'granted') return resolve(reply);
-          // What the request showed of the server is noted where it ends.
-          const end = (): void => takeBack('cancelled', 0);
+          // The request's own code records the outcome; this only releases
+          // the slot.
+          const end = (): void => endSlot('cancelled', 0);
           resolve({kind: 'granted', server: reply.server, end});
         });
       });
--- a/packages/gateway/src/membership.ts
+++ b/packages/gateway/src/membership.ts
@@ -3,64 +3,64 @@
 import type {Members, Membership} from './platform.js';
 import {repeat} from './repeat.js';
 
-/** Who the routers are, as the platform tells. */
+/** The group of routers as the platform reports it. */
 export interface RouterGroup {
-  /** The name of the router that was chosen to lead; null if unknown. */
+  /** The name of the router chosen to lead; null if unknown. */
   chosen(): string | null;
-  /** Whether this one is, by an answer that still counts. */
+  /** Whether this router is chosen, by an answer that is recent enough. */
   isChosen(): boolean;
-  /** Time since the question that the platform answered last, in ms. */
+  /** Time since the last call that the platform answered was sent, in ms. */
   contactAgeMs(): number;
-  /** Routers in touch with the platform, this one included. */
+  /** Number of routers connected to the platform, including this one. */
   count(): number;
   /**
-   * Stops asking, and resolves once this router is taken out, or `goesOn`
-   * says that it doesn't matter any more.
+   * Stops joining and removes this router from the group. Resolves once it is
+   * removed or `goesOn` returns false.
    */
   leave(goesOn: () => boolean): Promise<void>;
 }
 
-/** What following the membership needs. */
+/** What membership in the router group needs. */
 export interface RouterGroupConfig {
   readonly members: Members;
   readonly clock: Clock;
   readonly emit: Emit;
-  /** Time that also passes while the host is suspended, in ms. */
+  /** Monotonic time that also advances while the host is suspended, in ms. */
   suspendAwareNow(): number;
-  /** The platform answered whether this router is chosen. */
+  /** Called when the platform answered whether this router is chosen. */
   onJoined(): void;
   /**
-   * Whether the leader is heard: whom the platform chose doesn't matter then,
-   * and a list at each change, at each router, was 324 of 1,046 calls on a
-   * day of rolling restarts.
+   * Whether this router leads or follows a leader. The group isn't listed then:
+   * listing at each change, by each router, made 324 of 1,046 calls on a day of
+   * rolling restarts.
    */
   followsLeader(): boolean;
   /**
-   * Whether others stand ready to lead while the leader works: then this one
-   * doesn't show itself, which cost three calls a second for each router.
+   * Whether the leader works and has other deputies. This router doesn't join
+   * then, since joins cost three calls per second and router.
    */
   maySkipJoin(): boolean;
-  /** Another router was chosen in place of this one. */
+  /** Called when another router was chosen in place of this one. */
   onReplaced(): void;
 }
 
-/** A router shows that it's there this often, in ms. */
+/** Interval at which a router renews its membership, in ms. */
 const JOIN_INTERVAL_MS = 350;
-/** An answer counts for this time, in ms: until the next two should be there. */
+/** How long an answer is valid, in ms: the next two should arrive within it. */
 const CHOSEN_TTL_MS = 1_000;
 /**
- * Routers are listed this often at the most where the leader is unknown, in ms:
- * while many of them come at once, each of their joins is news to all.
+ * Minimum interval between lists of the group while the leader is unknown, in
+ * ms: when many routers start at once, each join changes the group for all.
  */
 const MIN_LIST_INTERVAL_MS = 700;
 
 /**
- * Takes part in the group of routers until it leaves.
+ * Joins the group of routers and renews the membership until `leave`.
  *
  * @example
  * ```ts
- * const routers = followRouters(cfg);
- * routers.leader();
+ * const routers = joinRouterGroup(cfg);
+ * const leaderName = routers.chosen();
  * ```
  */
 export function joinRouterGroup(cfg: RouterGroupConfig): RouterGroup {
@@ -74,10 +74,10 @@
   let answeredAt = -Infinity;
 
   const recordContact = (membership: Membership | null): void => {
-    const now = membership !== null;
-    if (now === isConnected) return;
-    isConnected = now;
-    emit(now ? 'store-regained' : 'store-lost', {dependency: 'members'});
+    const isAnswered = membership !== null;
+    if (isAnswered === isConnected) return;
+    isConnected = isAnswered;
+    emit(isAnswered ? 'store-regained' : 'store-lost', {dependency: 'members'});
   };
 
   const list = async (): Promise<void> => {
--- a/packages/gateway/src/quarantine-page.ts
+++ b/packages/gateway/src/quarantine-page.ts
@@ -8,20 +8,20 @@
 import type {Suspects} from '@banyandrum/dispatch/suspects.js';
 import {readBody} from './read-body.js';
 
-/** Answers a request of an operator's; false where it isn't one. */
+/** Handles an operator's request; returns false if the path isn't its own. */
 export type PageHandler = (
   req: IncomingMessage,
   res: ServerResponse,
 ) => boolean;
 
-/** An operator's answer: a status and what is told. */
+/** The response to an operator: HTTP status and JSON body. */
 interface Answer {
   readonly status: number;
   readonly body: object;
 }
 
 interface Handler {
-  /** What a token must allow. */
+  /** The role that the operator's token must have. */
   readonly role: Role;
   answer(operator: string, req: IncomingMessage): Promise<Answer>;
 }
@@ -30,10 +30,10 @@
 const MAX_REASON_LENGTH = 500;
 
 /**
- * Shows operators which requests are suspected or quarantined, and lets them
- * clear one: `GET /quarantine`, and `POST /quarantine/clear` with `content` and
- * `reason` in JSON. Both need a token of the settings; clearing one of a
- * publisher.
+ * Creates the HTTP interface by which operators list suspected and quarantined
+ * requests (`GET /quarantine`) and clear one (`POST /quarantine/clear` with
+ * `content` and `reason` in JSON). Both need an operator token from the settings;
+ * clearing needs the publisher role.
  *
  * @example
  * ```ts
@@ -62,9 +62,10 @@
     req: IncomingMessage,
   ): Promise<Answer> => {
     const operator = authenticate(req.headers.authorization);
-    if (operator === null) return problem(401, 'a token is needed');
+    if (operator === null)
+      return problem(401, 'a valid operator token is required');
     if (!mayActAs(operator, handler.role)) {
-      return problem(403, `a ${handler.role}'s token is needed`);
+      return problem(403, `a token with the role ${handler.role} is required`);
     }
     return handler.answer(operator.name, req);
   };
@@ -86,9 +87,14 @@
   req: IncomingMessage,
 ): Promise<Answer> {
   const body = await readBody(req, MAX_BODY_BYTES);
-  if (body.kind !== 'read') return problem(413, 'the body is too large');
+  if (body.kind !== 'read')
+    return problem(413, 'the request body is too large');
   const asked = parseClearRequest(body.bytes);
-  if (asked === null) return problem(400, 'content and reason are needed');
+  if (asked === null)
+    return problem(
+      400,
+      'content and reason are required as non-empty JSON strings',
+    );
   const isCleared = suspects.clear(asked.content, operator, asked.reason);
   if (!isCleared) return problem(404, 'no such request is quarantined');
   return {status: 200, body: {cleared: asked.content}};
--- a/packages/gateway/src/router-count.ts
+++ b/packages/gateway/src/router-count.ts
@@ -1,28 +1,28 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 
-/** How many routers share what is allowed to all of them together. */
+/** Number of routers that share a limit that applies to all of them together. */
 export interface RouterCount {
-  /** So many are at work, by one who counts them. */
+  /** Records a count of working routers, from whichever source counts them. */
   record(count: number): void;
-  /** The most that were at work lately; 1 at least. */
+  /** The highest count of the current and the previous window; at least 1. */
   current(): number;
 }
 
 /**
- * A count is believed for this time at least, in ms, though a later one is
- * lower: a new leader counts from nothing, and each router's share of retries
- * and connections would grow while the others go on using theirs. The window
- * of the retry budget in the deployments known.
+ * A count remains effective for at least this time, in ms, even if later ones are
+ * lower. A new leader starts counting from one: each router's share of retries
+ * and connections would grow while the others still use theirs. Equals the window
+ * of the retry budget in the known deployments.
  */
 const WINDOW_MS = 10_000;
 
 /**
- * Keeps the largest count of the last times.
+ * Tracks the highest count of the recent past.
  *
  * @example
  * ```ts
  * const count = createRouterCount(clock);
- * count.note(59);
+ * count.record(59);
  * ```
  */
 export function createRouterCount(clock: Clock): RouterCount {
--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -4,59 +4,61 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {ListChange, ListRead} from './platform.js';
 
-/** The list of backend servers at one point of its history. */
+/** The list of backend servers at one position of its change log. */
 export interface ListSnapshot {
   readonly cursor: number;
   readonly servers: readonly ServerInfo[];
 }
 
-/** The newest list of backend servers that this router knows. */
+/** Keeps the newest list of backend servers that this router knows. */
 export interface ServerList {
-  /** Takes a read of the platform's own list. */
+  /** Applies the result of a read of the platform's list. */
   applyRead(read: ListRead): void;
-  /** Takes another router's list, where it is newer. */
+  /** Applies another router's list if it is newer. */
   applySnapshot(snapshot: ListSnapshot, ageMs: number): void;
   snapshot(): ListSnapshot | null;
   /**
-   * Marks a run as leaving for the rest of its lifetime, regardless of later
-   * lists. Returns whether it was not marked before.
+   * Marks an instance as leaving for the rest of its lifetime, regardless of
+   * later lists. Returns whether it was not marked before.
    */
   noteLeaving(id: string): boolean;
-  /** Changes whenever the snapshot holds other servers, or in another state. */
+  /** Changes whenever the servers of the snapshot or their states change. */
   version(): number;
-  /** Where the next read goes on; null: it takes the whole list. */
+  /** Where the next read continues; null if it must read the whole list. */
   cursor(): number | null;
-  /** Time since a server came that was never listed before, in ms. */
+  /** Time since a server was listed for the first time, in ms. */
   sinceNewServerMs(): number;
   /** Time since the platform confirmed this list, in ms. */
   ageMs(): number;
   has(id: string): boolean;
-  /** Whether another run of a server is listed at this one's address. */
+  /** Whether a newer server is listed at the address of this one. */
   isReplaced(id: string): boolean;
   subscribe(listener: () => void): void;
 }
 
 /**
- * Entries that are removed are kept until so long after the last failed read:
- * servers couldn't renew theirs either, and they come back when the platform
- * does. In ms, at the most; it must also end soon after the time by which a
- * server that is really gone must have no request any more.
+ * Longest time after the last failed read during which removed entries are kept,
+ * in ms. While the platform was unavailable, servers couldn't renew their entries
+ * either; they register again once it is back. The time must end soon after the
+ * deadline by which a server that really left may get no more requests, so
+ * `leaveWithinMs` plus the margin limits it as well.
  */
 const MAX_REMOVAL_GRACE_MS = 2_200;
 const REMOVAL_GRACE_MARGIN_MS = 200;
 /**
- * Runs of servers that are remembered, to tell that one took another's place:
- * some weeks of restarts at the size designed for, in about 1 MB.
+ * Limit of remembered server instances, which are needed to detect that one
+ * replaced another: a few weeks of restarts at the largest supported size, in
+ * about 1 MB.
  */
 const MAX_REMEMBERED_INSTANCES = 10_000;
 
 /**
- * Keeps the list.
+ * Creates an empty list.
  *
  * @example
  * ```ts
  * const list = createServerList(clock, emit, 2_000);
- * list.take(await platform.readServers(list.cursor()));
+ * list.applyRead(await platform.readServers(list.cursor()));
  * ```
  */
 export function createServerList(
@@ -69,14 +71,14 @@
     leaveWithinMs + REMOVAL_GRACE_MARGIN_MS,
   );
   const servers = new Map<string, ServerInfo>();
-  /** The newest run under each name that has a run listed. */
+  /** The newest instance of each server name that has a listed instance. */
   const instances = new Map<string, string>();
-  /** Address and order of first sight of each server ever listed. */
+  /** Address and order of first listing of each server ever listed. */
   const seen = new Map<string, {address: string; order: number}>();
   const pendingRemovals = new Set<string>();
-  /** Servers that a restored list lacks, until they had time to register. */
+  /** Servers missing from a restored list that have time to register again. */
   const awaitingRegistration = new Set<string>();
-  /** Runs that were ever reported as leaving; none of them comes back. */
+  /** Instances that were ever reported as leaving, which is final for each. */
   const leavingInstances = new Set<string>();
   const listeners = new Set<() => void>();
   let cursor: number | null = null;
@@ -115,7 +117,10 @@
     return true;
   };
 
-  /** Other routers may learn it before the platform's list shows it. */
+  /**
+   * Marks the servers that another router lists as leaving, even if its list is
+   * older: it may know of a report that isn't in the platform's list yet.
+   */
   const markListedLeaving = (listed: readonly ServerInfo[]): boolean => {
     const newlyLeaving = listed.filter(
       ({id, isLeaving}) => isLeaving && !leavingInstances.has(id),
@@ -129,12 +134,12 @@
     const server = leavingInstances.has(entry.id)
       ? {...entry, isLeaving: true}
       : entry;
-    const last = instances.get(nameOfRun(server.id));
-    if (last !== undefined && last !== server.id) {
-      // What an earlier run said may come later, from another router.
-      if (isEarlierInstance(server.id, last)) return false;
-      emit('server-reborn', {server: server.id, before: last});
-      remove(last);
+    const lastId = instances.get(nameOfRun(server.id));
+    if (lastId !== undefined && lastId !== server.id) {
+      // An entry of an earlier instance may arrive late, from another router.
+      if (isEarlierInstance(server.id, lastId)) return false;
+      emit('server-reborn', {server: server.id, before: lastId});
+      remove(lastId);
     }
     instances.set(nameOfRun(server.id), server.id);
     if (pendingRemovals.delete(server.id)) version++;
@@ -163,14 +168,15 @@
     if (!servers.has(id)) return false;
     awaitingRegistration.delete(id);
     if (clock.now() - lastFailureAt > removalGraceMs) return remove(id);
-    // Others are told of it by the version: with an older one they would take
-    // the cursor that lies behind the removal, and keep the server for good.
+    // The snapshot no longer includes the server, so its version must change.
+    // Otherwise other routers would adopt the cursor after the removal without
+    // the removal itself, and keep the server for good.
     if (!pendingRemovals.has(id)) version++;
     pendingRemovals.add(id);
     return false;
   };
 
-  /** What can't be read says nothing of whether the server is there. */
+  /** An unreadable entry doesn't show whether the server still exists. */
   const reportUnreadable = (server: string, detail: string): boolean => {
     emit('server-unreadable', {server, detail});
     return false;
@@ -193,9 +199,11 @@
       if (change.kind === 'listed') listed.add(nameOfRun(change.server.id));
       if (change.kind === 'unreadable') listed.add(nameOfRun(change.id));
     }
-    const gone = [...servers.keys()].filter(id => !listed.has(nameOfRun(id)));
-    if (isRestored) gone.forEach(id => awaitingRegistration.add(id));
-    const expired = gone.filter(id => !awaitingRegistration.has(id));
+    const missing = [...servers.keys()].filter(
+      id => !listed.has(nameOfRun(id)),
+    );
+    if (isRestored) missing.forEach(id => awaitingRegistration.add(id));
+    const expired = missing.filter(id => !awaitingRegistration.has(id));
     const results = [...changes.map(apply), ...expired.map(removeAfterGrace)];
     return results.includes(true);
   };
@@ -207,9 +215,9 @@
 
   const applyDueRemovals = (): boolean => {
     if (clock.now() - lastFailureAt <= removalGraceMs) return false;
-    const due = [...pendingRemovals];
+    const dueIds = [...pendingRemovals];
     pendingRemovals.clear();
-    return due.map(remove).includes(true);
+    return dueIds.map(remove).includes(true);
   };
 
   return {
@@ -252,8 +260,8 @@
         ? null
         : {
             cursor,
-            // What was removed is no news to others, though this router keeps
-            // it for a while: they would list a server again that is gone.
+            // Entries kept for the grace time are left out: other routers would
+            // list a removed server again.
             servers: [...servers.values()].filter(
               ({id}) => !pendingRemovals.has(id),
             ),
@@ -275,10 +283,10 @@
       if (old === undefined || servers.has(id)) return false;
       for (const server of servers.values()) {
         if (server.address !== old.address) continue;
-        // It obeys what the run before it was ordered: its keys are taken back
-        // like those of any server that goes.
+        // A later instance of the same server accepts lease calls meant for the
+        // earlier one, so its keys are revoked as for any server that leaves.
         if (nameOfRun(server.id) === nameOfRun(id)) continue;
-        // Entries of servers that ended long ago may linger in the list.
+        // Entries of servers that terminated long ago may remain in the list.
         if (seen.get(server.id)!.order > old.order) return true;
       }
       return false;
@@ -287,7 +295,7 @@
   };
 }
 
-/** Whether the run began before the other one of its name. */
+/** Whether the instance started before the other one of the same server. */
 function isEarlierInstance(id: string, other: string): boolean {
   return (bornOfRun(id) ?? 0) < (bornOfRun(other) ?? 0);
 }
@@ -296,7 +304,7 @@
   return {kind: 'listed', server};
 }
 
-/** Whether routers treat the two entries alike. */
+/** Whether the two entries are equivalent for routing. */
 export function isSameServer(a: ServerInfo, b: ServerInfo): boolean {
   return (
     a.address === b.address &&
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -6,7 +6,7 @@
 import type {Platform} from './platform.js';
 import {repeat, type RepeatConfig} from './repeat.js';
 
-/** What sharing what is suspected needs of the router. */
+/** What `shareSuspects` needs from the router. */
 export interface ShareSuspectsConfig extends Pick<
   RepeatConfig,
   'emit' | 'goesOn'
@@ -20,21 +20,24 @@
   unixNow(): number;
 }
 
-/** Pause after a call that failed, in ms. */
+/** Delay after a failed call, in ms. */
 const RETRY_MS = 500;
-/** Pause before a router that starts reads again what it could not read, in ms. */
+/** Interval at which a starting router tries to load the records, in ms. */
 const LOAD_RETRY_MS = 400;
-/** It serves after this time, in ms, though it can't know what is quarantined. */
+/**
+ * A starting router serves after this time, in ms, even if it doesn't know yet
+ * which requests are quarantined.
+ */
 const MAX_STARTUP_WAIT_MS = 2_000;
-/** Clearings stay in the record for this time, as its audit trail, in ms. */
+/** Cleared rows stay in the store for this time as an audit trail, in ms. */
 const CLEARED_RETENTION_MS = 90 * 86_400_000;
 
 /**
- * Shares what this router knows of requests under which servers ended. Each
- * tells the leader, which alone quarantines them, tells all, and writes down
- * what must outlive every router. The result tells whether this router knows
- * what is quarantined: each one that starts would end servers with the same
- * request once more.
+ * Shares what routers know of requests during which servers crashed. Each router
+ * reports to the leader. Only the leader quarantines requests, informs all
+ * routers and stores what must survive a restart of all of them. The returned
+ * function tells whether this router knows which requests are quarantined:
+ * otherwise each starting router would crash servers with the same request again.
  *
  * @example
  * ```ts
@@ -43,7 +46,7 @@
  */
 export function shareSuspects(cfg: ShareSuspectsConfig): () => boolean {
   const {clock, suspects, leadership, link, platform} = cfg;
-  /** The rows in the record, by content. */
+  /** The stored rows, by content digest. */
   const recorded = new Map<string, Suspect>();
   let isLoaded = false;
   let currentEpoch: number | null = null;
@@ -53,14 +56,14 @@
     const rows = await platform.suspects.load();
     if (rows === null) return false;
     isLoaded = true;
-    // A store that was restored from a copy may lack what it had.
+    // A store that was restored from a backup may lack rows that it had.
     recorded.clear();
     for (const row of rows) recorded.set(row.content, row);
     suspects.merge(rows);
     return true;
   };
 
-  /** What the record lacks; each clearing of what it has, too. */
+  /** Quarantined rows that aren't stored, and stored rows cleared since. */
   const unsavedRows = (): readonly Suspect[] =>
     suspects.rows().filter(row => {
       const known = recorded.get(row.content);
@@ -70,7 +73,7 @@
       );
     });
 
-  /** Writes what is unwritten, in whichever term this router leads. */
+  /** Saves all unsaved rows, in whichever term this router leads. */
   const saveRows = async (): Promise<void> => {
     if (isSaving) return;
     isSaving = true;
@@ -78,10 +81,10 @@
       const epoch = leadership.epoch();
       const [next] = unsavedRows();
       if (epoch === null || next === undefined) break;
-      const end = await platform.suspects.save(epoch, next);
-      if (end === 'saved') recorded.set(next.content, next);
-      if (end === 'fenced') leadership.checkTerm();
-      if (end !== 'saved') await sleep(clock, RETRY_MS);
+      const result = await platform.suspects.save(epoch, next);
+      if (result === 'saved') recorded.set(next.content, next);
+      if (result === 'fenced') leadership.checkTerm();
+      if (result !== 'saved') await sleep(clock, RETRY_MS);
     }
     isSaving = false;
   };
@@ -91,8 +94,8 @@
     for (const {content, isQuarantined, cleared} of [...recorded.values()]) {
       if (isQuarantined || (cleared?.at ?? 0) > before) continue;
       if (leadership.epoch() !== epoch) return;
-      const end = await platform.suspects.drop(epoch, content);
-      if (end === 'saved') recorded.delete(content);
+      const result = await platform.suspects.drop(epoch, content);
+      if (result === 'saved') recorded.delete(content);
     }
   };
 
@@ -111,7 +114,7 @@
       return;
     }
     suspects.judge();
-    // Before it was read, a clearing would not be known as one of a record.
+    // Before the records are loaded, a cleared row isn't known to be stored.
     if (isLoaded) void saveRows();
   });
   leadership.subscribe(() => {
