--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -24,7 +24,7 @@
   createStateBroadcaster,
   type Subscriber,
   type BroadcasterConfig,
-} from './link-broadcaster.js';
+} from './link-telling.js';
 import {pickLargestHost, type Candidate} from './host-capacity.js';
 
 /** What serving followers needs. */
--- a/packages/gateway/src/membership.ts
+++ b/packages/gateway/src/membership.ts
@@ -6,7 +6,7 @@
 /** The group of routers as the platform reports it. */
 export interface RouterGroup {
   /** The name of the router chosen to lead; null if unknown. */
-  chosen(): string | null;
+  chosenName(): string | null;
   /** Whether this router is chosen, by an answer that is recent enough. */
   isChosen(): boolean;
   /** Time since the last call that the platform answered was sent, in ms. */
@@ -113,7 +113,7 @@
   repeat({clock, emit, name: 'members', ms: JOIN_INTERVAL_MS, goesOn}, join);
 
   return {
-    chosen: () => names[0] ?? null,
+    chosenName: () => names[0] ?? null,
     isChosen: () =>
       isChosen &&
       !isLeaving &&
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -42,7 +42,7 @@
 import type {Settings} from './settings.js';
 import {shareSuspects} from './share-suspects.js';
 import {stopRouter} from './stop-router.js';
-import {createLeaderElection} from './leader-election.js';
+import {createLeaderElection} from './succession.js';
 import {watchVitals} from './vitals.js';
 import {wakefulTime} from './wakeful-clock.js';
 
@@ -153,7 +153,7 @@
     limitConnections(backends, services, countRouters());
   };
   const chosenAddress = (): string | null => {
-    const name = routers.chosen();
+    const name = routers.chosenName();
     return name === null || name === self ? null : addressOf(name);
   };
   const takeOffer = async (): Promise<boolean> =>
--- a/packages/gateway/test/leader-election.test.ts
+++ b/packages/gateway/test/succession.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {createLeaderElection} from '@banyandrum/gateway/leader-election.js';
+import {createLeaderElection} from '@banyandrum/gateway/succession.js';
 import type {Candidate} from '@banyandrum/gateway/host-capacity.js';
 import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
 
