--- a/packages/gateway/src/config-keeper.ts
+++ b/packages/gateway/src/config-keeper.ts
@@ -15,7 +15,9 @@
   announcedCursor(): number | null;
   /** Another router has read up to `cursor`: reads at once if that is newer. */
   onCursorAnnounced(cursor: number): void;
-  /** Applies a version that the leader relayed, which it read up to `cursor`. */
+  /**
+   * Applies a version that the leader relayed, which it read up to `cursor`.
+   */
   applyRelayed(config: RoutingConfig, cursor: number): void;
   /** Up to where the platform's log was read; null before the first read. */
   cursor(): number | null;
@@ -28,8 +30,9 @@
 }
 
 /**
- * While no leader announces changes, a read that has taken this long, in ms, may
- * have stalled, since it is longer than a short wait: a second read is started.
+ * While no leader announces changes, a read that has taken this long, in ms,
+ * may have stalled, since it is longer than a short wait: a second read is
+ * started.
  */
 const STALLED_READ_MS = 1_200;
 const STALL_CHECK_MS = 300;
@@ -40,10 +43,10 @@
 /** Initial delay after a failed read, in ms. */
 const RETRY_MS = 200;
 /**
- * Longest delay after a failed read, in ms. Without backoff, 27 routers that the
- * platform rejected sent it 270 reads per second for ten seconds. Once it accepts
- * calls again, routers are reconnected after 3 s and must have the newest version
- * 2 s later.
+ * Longest delay after a failed read, in ms. Without backoff, 27 routers that
+ * the platform rejected sent it 270 reads per second for ten seconds. Once it
+ * accepts calls again, routers are reconnected after 3 s and must have the
+ * newest version 2 s later.
  */
 const RETRY_MAX_MS = 1_600;
 /**
@@ -55,15 +58,15 @@
 const RELAY_CHECK_MS = 250;
 /**
  * Delay before a change is announced to other routers, in ms. Their own pending
- * reads return the change as well: announced at once, each of them read a second
- * time, which doubled the calls for every change.
+ * reads return the change as well: announced at once, each of them read a
+ * second time, which doubled the calls for every change.
  */
 const ANNOUNCE_DELAY_MS = 300;
 
 /**
  * Reads the configuration until stopped. A version never replaces a newer one.
- * `isNotified` tells whether a leader announces changes to this router. While the
- * leader relays the versions that it reads (`isRelayed`), this router reads
+ * `isNotified` tells whether a leader announces changes to this router. While
+ * the leader relays the versions that it reads (`isRelayed`), this router reads
  * nothing itself: its reads would cost two calls per change and four per minute
  * while idle, or one per second before the first version.
  *
--- a/packages/gateway/src/host-capacity.ts
+++ b/packages/gateway/src/host-capacity.ts
@@ -17,9 +17,9 @@
 /**
  * Leadership moves only to a host with at least this many times the processor
  * capacity: a change of leader costs a new grant of all keys, and hosts of the
- * same type differ by less. With 80 routers, a leader with 0.27 cores was 250 to
- * 350 ms late with all its work and forwarded requests whose callers had left;
- * one with 1.35 cores was busy half the time.
+ * same type differ by less. With 80 routers, a leader with 0.27 cores was 250
+ * to 350 ms late with all its work and forwarded requests whose callers had
+ * left; one with 1.35 cores was busy half the time.
  */
 const MIN_PROCESSOR_RATIO = 1.5;
 
@@ -66,8 +66,8 @@
 
 /**
  * Picks the routers that should lead next: those with the highest capacity,
- * spread over as many data centres as possible, since a whole data centre may be
- * lost.
+ * spread over as many data centres as possible, since a whole data centre may
+ * be lost.
  */
 export function pickDeputies(
   candidates: Iterable<Candidate>,
--- a/packages/gateway/src/key-owners.ts
+++ b/packages/gateway/src/key-owners.ts
@@ -13,7 +13,9 @@
 export interface KeyOwners extends Owners {
   /** Sets the tables, which come from the leader or, without one, the store. */
   replaceTables(tables: ServedTables): void;
-  /** Returns the requests counted since the last call, and resets the counts. */
+  /**
+   * Returns the requests counted since the last call, and resets the counts.
+   */
   drainCounts(): KeyCounts;
   /** Whether another instance was seen at the address of this one. */
   isReplaced(server: string): boolean;
@@ -28,7 +30,7 @@
  * @example
  * ```ts
  * const owners = createKeyOwners(clock, emit);
- * owners.takeTables(tables);
+ * owners.replaceTables(tables);
  * ```
  */
 export function createKeyOwners(clock: Clock, emit: Emit): KeyOwners {
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -212,7 +212,9 @@
     cancelTick = clock.after(TICK_MS, () => tick(ownTerm));
   };
 
-  /** Assignments that this router remembers although the store has lost them. */
+  /**
+   * Assignments that this router remembers although the store has lost them.
+   */
   const recallAssignments = (previous: Term): InheritedAssignments => {
     const actUntil = confirmedAt + AUTHORITY_MS;
     return new Map(
@@ -221,7 +223,7 @@
           ([name, serviceLeader]) =>
             [name, serviceLeader.remembered(actUntil)] as const,
         )
-        .filter(([, holdings]) => holdings.length > 0),
+        .filter(([, assignments]) => assignments.length > 0),
     );
   };
 
@@ -279,7 +281,7 @@
 
   /**
    * Starts a new term after the store was restored and lost the current one:
-   * only this router knows what was recorded after the backup was taken.
+   * only this router knows what was recorded after the snapshot was taken.
    */
   const continueInNewTerm = async (ownTerm: Term): Promise<void> => {
     if (isStarting) return;
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -53,7 +53,9 @@
    * no leader is followed.
    */
   leaderContactAgeMs(): number | null;
-  /** Whether the leader relays configurations, and this router has the newest. */
+  /**
+   * Whether the leader relays configurations, and this router has the newest.
+   */
   relaysConfig(): boolean;
   /** Follows the leader at the address; false if no router leads there. */
   followAt(address: string): Promise<boolean>;
@@ -231,8 +233,8 @@
   };
 
   /**
-   * Closes the stream. A router that leads now announces its term first, so that
-   * the former leader need not ask the platform.
+   * Closes the stream. A router that leads now announces its term first, so
+   * that the former leader need not ask the platform.
    */
   const closeStream = ({stream, isLeader}: Session): void => {
     const epoch = cfg.epoch();
--- a/packages/gateway/src/link-codec.ts
+++ b/packages/gateway/src/link-codec.ts
@@ -7,8 +7,8 @@
 
 /**
  * Encodes messages as JSON. Messages that are sent for each request are arrays
- * to keep them small: a letter for the kind, then the values in the order below.
- * All others are objects.
+ * to keep them small: a letter for the kind, then the values in the order
+ * below. All others are objects.
  */
 
 /**
--- a/packages/gateway/src/link-messages.ts
+++ b/packages/gateway/src/link-messages.ts
@@ -41,7 +41,9 @@
     }
   /** The last message of a router that leads now, with its term's epoch. */
   | {readonly kind: 'leading'; readonly epoch: number}
-  /** Number of requests that it routed by its own tables, by service and key. */
+  /**
+   * Number of requests that it routed by its own tables, by service and key.
+   */
   | {
       readonly kind: 'counts';
       readonly counts: WireCounts;
@@ -69,7 +71,9 @@
       readonly listAgeMs: number;
       /** Log position of its configuration; null if it has none. */
       readonly configCursor: number | null;
-      /** A version that the follower doesn't have, if the link has bandwidth. */
+      /**
+       * A version that the follower doesn't have, if the link has bandwidth.
+       */
       readonly config: WireConfig | null;
       /** Time since the leader confirmed that nothing is newer, in ms. */
       readonly configAgeMs: number;
@@ -89,7 +93,9 @@
     }
   /** Asks this router, whose host has more capacity, to lead. */
   | {readonly kind: 'lead'}
-  /** Last message of a router that doesn't lead: the leader it follows, if any. */
+  /**
+   * Last message of a router that doesn't lead: the leader it follows, if any.
+   */
   | {readonly kind: 'elsewhere'; readonly leader: string | null};
 
 /** A message that is encoded once for many streams. */
@@ -105,8 +111,9 @@
 /** Maximum interval between two states that the leader sends, in ms. */
 export const HEARTBEAT_MS = 200;
 /**
- * A follower closes the stream after this time without a message, in ms. Requests
- * that wait for a reply can then still be routed without the leader in time.
+ * A follower closes the stream after this time without a message, in ms.
+ * Requests that wait for a reply can then still be routed without the leader in
+ * time.
  */
 export const LEADER_TIMEOUT_MS = 600;
 
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -41,7 +41,9 @@
   noteReplaced(server: string): void;
   /** A follower reported that the server announced that it is leaving. */
   noteLeaving(server: string): void;
-  /** Another router offers leadership; resolves to whether a router leads then. */
+  /**
+   * Another router offers leadership; resolves to whether a router leads then.
+   */
   onLeadershipOffered(): Promise<boolean>;
   /** A follower requested a slot for the key. */
   noteRequest(service: string, key: number): void;
@@ -56,8 +58,8 @@
 
 /**
  * Interval and timeout of keepalive pings, in ms, which close connections that
- * failed without being closed. Otherwise the slots allocated over them would never
- * be released. Most requests that use these slots have completed by then.
+ * failed without being closed. Otherwise the slots allocated over them would
+ * never be released. Most requests that use these slots have completed by then.
  */
 const KEEPALIVE_MS = 2_000;
 const KEEPALIVE_TIMEOUT_MS = 1_500;
@@ -85,8 +87,8 @@
 const OFFER_INTERVAL_MS = 3_000;
 
 /**
- * Serves followers while this router leads: allocates slots and sends the state by
- * which they route. The streams end when this router no longer leads.
+ * Serves followers while this router leads: allocates slots and sends the state
+ * by which they route. The streams end when this router no longer leads.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/link-session.ts
+++ b/packages/gateway/src/link-session.ts
@@ -34,8 +34,8 @@
 /**
  * A leader whose last read of the configuration is older than this may have
  * missed a version, in ms: covers a short waiting read and its response. A
- * version must be in force 2 s after it was accepted, which includes one read by
- * this router itself.
+ * version must be in force 2 s after it was accepted, which includes one read
+ * by this router itself.
  */
 const MAX_RELAY_AGE_MS = 1_200;
 
--- a/packages/gateway/src/link-state.ts
+++ b/packages/gateway/src/link-state.ts
@@ -97,7 +97,8 @@
 
 /**
  * Returns a digest that is independent of the order of the entries. Two routers
- * that read the platform's list at different times mostly know the same servers.
+ * that read the platform's list at different times mostly know the same
+ * servers.
  */
 export function digestServers(servers: readonly ServerInfo[]): string {
   const lines = servers.map(
--- a/packages/gateway/src/link-telling.ts
+++ b/packages/gateway/src/link-telling.ts
@@ -72,16 +72,16 @@
 
 /**
  * A configuration is relayed if that occupies the leader's network link for at
- * most this time, in ms. Otherwise followers read it from the platform, which is
- * as fast as without a leader.
+ * most this time, in ms. Otherwise followers read it from the platform, which
+ * is as fast as without a leader.
  */
 const MAX_RELAY_MS = 400;
 
 /**
- * Share of the leader's network link for full states, which new followers get and
- * which take tens of kilobytes each. Without the limit, 77 routers that connected
- * at once waited four seconds on a 10 Mbit/s link, and left as the leader timed
- * out.
+ * Share of the leader's network link for full states, which new followers get
+ * and which take tens of kilobytes each. Without the limit, 77 routers that
+ * connected at once waited four seconds on a 10 Mbit/s link, and left as the
+ * leader timed out.
  */
 const FULL_STATE_LINK_SHARE = 0.4;
 
@@ -99,9 +99,9 @@
 }
 
 /**
- * Creates the broadcaster. Subscribers that have the full state get changes. New
- * ones get the full state as soon as the bandwidth budget allows, and heartbeats
- * with only the deputies until then.
+ * Creates the broadcaster. Subscribers that have the full state get changes.
+ * New ones get the full state as soon as the bandwidth budget allows, and
+ * heartbeats with only the deputies until then.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/local-slot-provider.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -13,7 +13,8 @@
 }
 
 /**
- * Allocates slots here if this router leads, else requests them from the leader.
+ * Allocates slots here if this router leads, else requests them from the
+ * leader.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/membership.ts
+++ b/packages/gateway/src/membership.ts
@@ -60,7 +60,7 @@
  * @example
  * ```ts
  * const routers = joinRouterGroup(cfg);
- * const leaderName = routers.chosen();
+ * const leaderName = routers.chosenName();
  * ```
  */
 export function joinRouterGroup(cfg: RouterGroupConfig): RouterGroup {
--- a/packages/gateway/src/quarantine-page.ts
+++ b/packages/gateway/src/quarantine-page.ts
@@ -32,8 +32,8 @@
 /**
  * Creates the HTTP interface by which operators list suspected and quarantined
  * requests (`GET /quarantine`) and clear one (`POST /quarantine/clear` with
- * `content` and `reason` in JSON). Both need an operator token from the settings;
- * clearing needs the publisher role.
+ * `content` and `reason` in JSON). Both need an operator token from the
+ * settings; clearing needs the publisher role.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/router-count.ts
+++ b/packages/gateway/src/router-count.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 
-/** Number of routers that share a limit that applies to all of them together. */
+/** Number of routers among which limits for all routers are divided. */
 export interface RouterCount {
   /** Records a count of working routers, from whichever source counts them. */
   record(count: number): void;
@@ -9,10 +9,10 @@
 }
 
 /**
- * A count remains effective for at least this time, in ms, even if later ones are
- * lower. A new leader starts counting from one: each router's share of retries
- * and connections would grow while the others still use theirs. Equals the window
- * of the retry budget in the known deployments.
+ * A count remains effective for at least this time, in ms, even if later ones
+ * are lower. A new leader starts counting from one: each router's share of
+ * retries and connections would grow while the others still use theirs. Equals
+ * the window of the retry budget in the known deployments.
  */
 const WINDOW_MS = 10_000;
 
--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -37,11 +37,11 @@
 }
 
 /**
- * Longest time after the last failed read during which removed entries are kept,
- * in ms. While the platform was unavailable, servers couldn't renew their entries
- * either; they register again once it is back. The time must end soon after the
- * deadline by which a server that really left may get no more requests, so
- * `leaveWithinMs` plus the margin limits it as well.
+ * Longest time after the last failed read during which removed entries are
+ * kept, in ms. While the platform was unavailable, servers couldn't renew their
+ * entries either; they register again once it is back. The time must end soon
+ * after the deadline by which a server that really left may get no more
+ * requests, so `leaveWithinMs` plus the margin limits it as well.
  */
 const MAX_REMOVAL_GRACE_MS = 2_200;
 const REMOVAL_GRACE_MARGIN_MS = 200;
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -33,11 +33,12 @@
 const CLEARED_RETENTION_MS = 90 * 86_400_000;
 
 /**
- * Shares what routers know of requests during which servers crashed. Each router
- * reports to the leader. Only the leader quarantines requests, informs all
- * routers and stores what must survive a restart of all of them. The returned
- * function tells whether this router knows which requests are quarantined:
- * otherwise each starting router would crash servers with the same request again.
+ * Shares what routers know of requests during which servers crashed. Each
+ * router reports to the leader. Only the leader quarantines requests, informs
+ * all routers and stores what must survive a restart of all of them. The
+ * returned function tells whether this router knows which requests are
+ * quarantined: otherwise each starting router would crash servers with the same
+ * request again.
  *
  * @example
  * ```ts
@@ -56,14 +57,17 @@
     const rows = await platform.suspects.load();
     if (rows === null) return false;
     isLoaded = true;
-    // A store that was restored from a backup may lack rows that it had.
+    // A store that was restored from a snapshot may lack rows that it had.
     recorded.clear();
     for (const row of rows) recorded.set(row.content, row);
     suspects.merge(rows);
     return true;
   };
 
-  /** Quarantined rows that aren't stored, and stored rows cleared since. */
+  /**
+   * Quarantined rows that aren't stored, and stored rows that were cleared or
+   * quarantined since.
+   */
   const unsavedRows = (): readonly Suspect[] =>
     suspects.rows().filter(row => {
       const known = recorded.get(row.content);
@@ -90,9 +94,9 @@
   };
 
   const dropExpired = async (epoch: number): Promise<void> => {
-    const before = cfg.unixNow() - CLEARED_RETENTION_MS;
+    const cutoff = cfg.unixNow() - CLEARED_RETENTION_MS;
     for (const {content, isQuarantined, cleared} of [...recorded.values()]) {
-      if (isQuarantined || (cleared?.at ?? 0) > before) continue;
+      if (isQuarantined || (cleared?.at ?? 0) > cutoff) continue;
       if (leadership.epoch() !== epoch) return;
       const result = await platform.suspects.drop(epoch, content);
       if (result === 'saved') recorded.delete(content);
--- a/packages/gateway/src/succession.ts
+++ b/packages/gateway/src/succession.ts
@@ -63,8 +63,8 @@
  * costs half a second without slots and a new grant of all keys. The chosen
  * router starts a term only if it follows no leader that reaches the platform
  * and none answers at the last leader's address. It first asks deputies with
- * clearly more capacity: a leader with 0.27 cores was late with all its work and
- * forwarded requests that their callers had already abandoned.
+ * clearly more capacity: a leader with 0.27 cores was late with all its work
+ * and forwarded requests that their callers had already abandoned.
  *
  * @example
  * ```ts
@@ -112,7 +112,8 @@
     async runIfNeeded() {
       if (isRunning || !isNeeded()) return;
       isRunning = true;
-      // Reset even after an error; otherwise this router could never lead again.
+      // Reset even after an error; otherwise this router could never lead
+      // again.
       await elect().finally(() => {
         isRunning = false;
       });
