--- a/packages/gateway/src/keep-up.ts
+++ b/packages/gateway/src/keep-up.ts
@@ -49,7 +49,7 @@
 
 /** Whether the leader's word is newer than what the store would tell. */
 export function isFollowing(link: LinkClient): boolean {
-  return link.ageMs() < LIST_FRESH_MS;
+  return link.leaderAgeMs() < LIST_FRESH_MS;
 }
 
 /**
@@ -96,11 +96,14 @@
 async function readTables(cfg: KeepUpConfig): Promise<void> {
   const {platform, leadership, link, owners, emit} = cfg;
   const isNeeded = (): boolean =>
-    !leadership.isLeading() && link.ageMs() >= TABLES_FRESH_MS;
+    !leadership.isLeading() && link.leaderAgeMs() >= TABLES_FRESH_MS;
   if (!isNeeded() || cfg.keyedServices().length === 0) return;
   const stored = await platform.ledger.load();
   if (stored === null || !isNeeded()) return;
-  emit('tables-taken', {from: 'store', linkAgeMs: Math.round(link.ageMs())});
+  emit('tables-taken', {
+    from: 'store',
+    linkAgeMs: Math.round(link.leaderAgeMs()),
+  });
   const storeEpoch = platform.history.epoch();
   owners.replaceTables(
     new Map(
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -58,7 +58,7 @@
   suspendAwareNow(): number;
   readonly timing: HoldTiming;
   /** Distinguishes the table versions of this process from others'. */
-  readonly boot: string;
+  readonly bootId: string;
   /** The address at which other routers reach this one, `ip:port`. */
   readonly address: string;
   keyedServices(): readonly string[];
@@ -332,7 +332,7 @@
         ]),
       );
     },
-    version: () => `${cfg.boot}-${tablesRevision}`,
+    version: () => `${cfg.bootId}-${tablesRevision}`,
     async startTerm() {
       await beginFirstTerm();
       return term !== null;
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -33,7 +33,7 @@
   chosenAddress(): string | null;
   isLeading(): boolean;
   /** The epoch of this router's own term; null while it doesn't lead. */
-  epoch(): number | null;
+  termEpoch(): number | null;
   /** How this router identifies itself to the leader. */
   readonly self: Candidate;
   /** Called when the leader asks this router to lead in its place. */
@@ -45,7 +45,7 @@
 /** The follower's end of the stream to the leader. */
 export interface LinkClient extends Places {
   /** Time since the last message from a leader, in ms. */
-  ageMs(): number;
+  leaderAgeMs(): number;
   /** `ip:port` of the leader that this router follows; null if none. */
   leader(): string | null;
   /**
@@ -237,7 +237,7 @@
    * that the former leader need not ask the platform.
    */
   const closeStream = ({stream, isLeader}: Session): void => {
-    const epoch = cfg.epoch();
+    const epoch = cfg.termEpoch();
     if (epoch === null || !isLeader) return stream.cancel();
     stream.write({kind: 'leading', epoch});
     stream.end();
@@ -314,7 +314,7 @@
         current.stream.write({kind: 'ask', ask: askNumber, place: ask});
       });
     },
-    ageMs: () => clock.now() - heardAt,
+    leaderAgeMs: () => clock.now() - heardAt,
     leader: () => liveSession()?.leader ?? null,
     leaderContactAgeMs: () => liveSession()?.leaderContactAgeMs ?? null,
     relaysConfig: () => liveSession()?.relaysConfig ?? false,
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -73,7 +73,7 @@
 interface Follower extends Subscriber {
   readonly stream: Stream;
   /** Releases pending requests and allocated slots, by ask number. */
-  readonly asks: Map<number, EndSlot>;
+  readonly pending: Map<number, EndSlot>;
   /** Whether it was asked to lead. */
   wasOfferedLeadership: boolean;
   /** Whether it reported that it leads now. */
@@ -163,7 +163,7 @@
       ...createSubscriber(stream),
       ...{
         stream,
-        asks: new Map(),
+        pending: new Map(),
         wasOfferedLeadership: false,
         hasStartedTerm: false,
       },
@@ -171,8 +171,8 @@
     followers.add(follower);
     const leave = (): void => {
       if (!followers.delete(follower)) return;
-      for (const endSlot of follower.asks.values()) endSlot('cancelled', 0);
-      follower.asks.clear();
+      for (const endSlot of follower.pending.values()) endSlot('cancelled', 0);
+      follower.pending.clear();
       // A router that starts to lead stops following.
       if (follower.wasOfferedLeadership) cfg.leadership.checkTerm();
     };
@@ -240,7 +240,7 @@
     follower.hasStartedTerm = true;
     leadership.observeTerm(epoch);
   },
-  ask(cfg, {stream, asks, candidate}, {ask, place}) {
+  ask(cfg, {stream, pending: asks, candidate}, {ask, place}) {
     if (!cfg.leadership.isLeading()) {
       stream.write({kind: 'reply', ask, reply: {kind: 'unavailable'}});
       return;
@@ -255,7 +255,7 @@
     });
     if (!isRefused) asks.set(ask, endSlot);
   },
-  end(_cfg, {asks}, {ask, how, tookMs}) {
+  end(_cfg, {pending: asks}, {ask, how, tookMs}) {
     asks.get(ask)?.(how, tookMs);
     asks.delete(ask);
   },
--- a/packages/gateway/src/succession.ts
+++ b/packages/gateway/src/succession.ts
@@ -21,7 +21,7 @@
    * no leader is followed.
    */
   leaderContactAgeMs(): number | null;
-  lastLeader(): Promise<LeaderRead>;
+  readLastLeader(): Promise<LeaderRead>;
   /** Follows the leader at the address; false if no router leads there. */
   followAt(address: string): Promise<boolean>;
   /** Routers that the last leader designated to lead next, the best first. */
@@ -89,7 +89,7 @@
   const findLeader = async (): Promise<'found' | 'none' | 'unknown'> => {
     // A leader that is followed but doesn't work is replaced.
     if (cfg.leaderContactAgeMs() !== null) return 'none';
-    const last = await cfg.lastLeader();
+    const last = await cfg.readLastLeader();
     if (last.kind === 'failed') return 'unknown';
     if (last.address === null || last.address === cfg.self) return 'none';
     return (await cfg.followAt(last.address)) ? 'found' : 'none';
--- a/packages/gateway/test/leadership-restore.test.ts
+++ b/packages/gateway/test/leadership-restore.test.ts
@@ -64,7 +64,7 @@
       platform: {ledger, history, orders} as unknown as Platform,
       ...{clock, suspendAwareNow: () => clock.now()},
       timing: createTiming(10_000),
-      ...{boot: `b${at}`, address: `10.0.1.${at}:7200`},
+      ...{bootId: `b${at}`, address: `10.0.1.${at}:7200`},
       emit: () => undefined,
       keyedServices: () => [SERVICE],
       serversOf: () =>
@@ -98,12 +98,12 @@
 
 const FAULTS: readonly Fault[] = [
   ({store, routers, random, clock}) => {
-    const snapshot = store.copy();
+    const snapshot = store.takeSnapshot();
     clock.after(random() * 6_000, () => {
-      for (const {access} of routers) access.isCut = true;
+      for (const {access} of routers) access.isUnreachable = true;
       clock.after(random() * 4_000, () => {
         store.restore(snapshot);
-        for (const {access} of routers) access.isCut = false;
+        for (const {access} of routers) access.isUnreachable = false;
       });
     });
   },
@@ -111,9 +111,9 @@
   harness => pickFrom(harness, harness.routers).leadership.resign(),
   harness => {
     const {access} = pickFrom(harness, harness.routers);
-    access.isCut = true;
+    access.isUnreachable = true;
     harness.clock.after(harness.random() * 6_000, () => {
-      access.isCut = false;
+      access.isUnreachable = false;
     });
   },
   // Unlists a server, whose keys are moved to others.
--- a/packages/gateway/test/leadership-scale.test.ts
+++ b/packages/gateway/test/leadership-scale.test.ts
@@ -67,7 +67,7 @@
   const history = createFakeHistory(() => clock.now());
   const leadership = createLeadership({
     platform: {ledger, orders, history} as unknown as Platform,
-    ...{clock, timing: createTiming(10_000), boot: 'b1'},
+    ...{clock, timing: createTiming(10_000), bootId: 'b1'},
     ...{address: '10.0.0.9:7200', emit: () => undefined},
     suspendAwareNow: () => clock.now(),
     keyedServices: () => ['rounds'],
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -41,7 +41,7 @@
     clock,
     suspendAwareNow: wakefulNow,
     timing: createTiming(10_000),
-    boot: 'b1',
+    bootId: 'b1',
     address: '10.0.0.9:7200',
     emit: () => undefined,
     keyedServices: () => ['rounds'],
--- a/packages/gateway/test/link.test.ts
+++ b/packages/gateway/test/link.test.ts
@@ -155,7 +155,7 @@
     isLeading: () => false,
     onLeadershipOffered: () => undefined,
     onLeaderLost: () => undefined,
-    epoch: () => null,
+    termEpoch: () => null,
     onConfigCursor: () => undefined,
     applyConfig: () => undefined,
     configCursor: () => null,
--- a/packages/gateway/test/restorable-store.ts
+++ b/packages/gateway/test/restorable-store.ts
@@ -5,7 +5,7 @@
 import type {RangeTable} from '@banyandrum/ranges/table.js';
 
 /** The records of terms and tables in the store. */
-interface Records {
+interface StoreRecords {
   readonly terms: number;
   readonly owner: number;
   readonly tables: ReadonlyMap<string, RangeTable>;
@@ -16,27 +16,27 @@
   readonly ledger: Ledger;
   readonly history: StoreHistory;
   /** Whether calls time out. */
-  isCut: boolean;
+  isUnreachable: boolean;
 }
 
 /** An in-memory store that can be restored from a snapshot. */
 export interface RestorableStore {
-  copy(): Records;
-  restore(copy: Records): void;
+  takeSnapshot(): StoreRecords;
+  restore(copy: StoreRecords): void;
   open(): StoreAccess;
 }
 
 /** Timeout of a call, in ms. */
-const LOST_MS = 800;
+const CALL_TIMEOUT_MS = 800;
 /** Longest delay of a call's request and of its response, in ms. */
-const ANSWER_MAX_MS = 8;
+const MAX_DELAY_MS = 8;
 
 /** Creates a store whose calls take some milliseconds. */
 export function createRestorableStore(
   clock: Clock,
   random: () => number,
 ): RestorableStore {
-  let records: Records = {terms: 0, owner: 0, tables: new Map()};
+  let records: StoreRecords = {terms: 0, owner: 0, tables: new Map()};
   let storeEpoch = 1;
 
   const open = (): StoreAccess => {
@@ -62,13 +62,13 @@
     const call = <T>(work: () => T): Promise<T | null> =>
       new Promise(resolve => {
         const timeOut = (): void =>
-          void clock.after(LOST_MS, () => resolve(null));
-        clock.after(random() * ANSWER_MAX_MS, () => {
-          if (access.isCut) return timeOut();
+          void clock.after(CALL_TIMEOUT_MS, () => resolve(null));
+        clock.after(random() * MAX_DELAY_MS, () => {
+          if (access.isUnreachable) return timeOut();
           const result = work();
           const epoch = storeEpoch;
-          clock.after(random() * ANSWER_MAX_MS, () => {
-            if (access.isCut) return timeOut();
+          clock.after(random() * MAX_DELAY_MS, () => {
+            if (access.isUnreachable) return timeOut();
             resolve(noteEpoch(epoch) ? result : null);
           });
         });
@@ -86,7 +86,7 @@
     };
 
     const access: StoreAccess = {
-      isCut: false,
+      isUnreachable: false,
       history: {
         epoch: () => knownEpoch ?? 0,
         seenAt: () => seenAt,
@@ -118,7 +118,7 @@
 
   return {
     open,
-    copy: () => records,
+    takeSnapshot: () => records,
     restore(copy) {
       records = copy;
       storeEpoch++;
--- a/packages/gateway/test/succession.test.ts
+++ b/packages/gateway/test/succession.test.ts
@@ -39,7 +39,8 @@
     sinceRestoreMs: () => Infinity,
     isLeading: () => terms > 0,
     leaderContactAgeMs: () => conditions.leaderContactAgeMs ?? null,
-    lastLeader: async () => conditions.last ?? {kind: 'read', address: OTHER},
+    readLastLeader: async () =>
+      conditions.last ?? {kind: 'read', address: OTHER},
     async followAt(address) {
       contacted.push(address);
       return conditions.isReachable ?? false;
