--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -240,7 +240,7 @@
     follower.hasStartedTerm = true;
     leadership.observeTerm(epoch);
   },
-  ask(cfg, {stream, pending: asks, candidate}, {ask, place}) {
+  ask(cfg, {stream, pending, candidate}, {ask, place}) {
     if (!cfg.leadership.isLeading()) {
       stream.write({kind: 'reply', ask, reply: {kind: 'unavailable'}});
       return;
@@ -250,14 +250,14 @@
     const dataCentre = candidate?.dataCentre ?? '';
     const endSlot = cfg.issuer.ask({...place, dataCentre}, reply => {
       isRefused = reply.kind !== 'granted';
-      if (isRefused) asks.delete(ask);
+      if (isRefused) pending.delete(ask);
       stream.write({kind: 'reply', ask, reply});
     });
-    if (!isRefused) asks.set(ask, endSlot);
+    if (!isRefused) pending.set(ask, endSlot);
   },
-  end(_cfg, {pending: asks}, {ask, how, tookMs}) {
-    asks.get(ask)?.(how, tookMs);
-    asks.delete(ask);
+  end(_cfg, {pending}, {ask, how, tookMs}) {
+    pending.get(ask)?.(how, tookMs);
+    pending.delete(ask);
   },
   counts(cfg, _follower, {counts}) {
     cfg.leadership.addRequestCounts(fromWireCounts(counts));
--- a/packages/gateway/test/leadership-scale.test.ts
+++ b/packages/gateway/test/leadership-scale.test.ts
@@ -32,7 +32,7 @@
   /** The fences of all grants. */
   readonly fences: number[];
   /** Called when a server is asked to release keys. */
-  onRelease: (holding: Holding) => void;
+  onRelease: (assignment: Holding) => void;
 }
 
 function createHarness(
@@ -58,8 +58,8 @@
       await simulateLatency();
       return {kind: 'done', handover: null};
     },
-    async release(holding) {
-      harness.onRelease(holding);
+    async release(assignment) {
+      harness.onRelease(assignment);
       await simulateLatency();
       return {kind: 'done', handover: null};
     },
@@ -129,18 +129,18 @@
 // fence would reject the next leader, and its keys would stay unserved; or a
 // delayed call of the earlier leader would take precedence.
 void tap.test('fences of a large term stay below the next term', async t => {
-  const holdings = cutEvenly(4_200).map((range, at) => {
+  const assignments = cutEvenly(4_200).map((range, at) => {
     const {id, address} = ALL[at % SERVERS]!;
     return {...range, server: id, address, fence: 1, handover: null};
   });
-  const harness = createHarness(7, holdings);
+  const harness = createHarness(7, assignments);
   void harness.leadership.startTerm();
   await harness.clock.advance(2_000);
   t.equal(harness.leadership.isLeading(), true, 'the term continues');
-  const next = createHarness(8, holdings);
+  const next = createHarness(8, assignments);
   void next.leadership.startTerm();
   await next.clock.advance(100);
-  t.ok(harness.fences.length >= holdings.length);
+  t.ok(harness.fences.length >= assignments.length);
   t.ok(next.fences.length > 0);
   t.ok(Math.max(...harness.fences) < Math.min(...next.fences));
 });
@@ -150,11 +150,11 @@
 // 0.6 s without a message, so grants must be spread. None may be late either:
 // servers' leases last at least another second.
 void tap.test('a new leader grants inherited ranges step by step', async t => {
-  const holdings = cutEvenly(1_000).map((range, at) => {
+  const assignments = cutEvenly(1_000).map((range, at) => {
     const {id, address} = ALL[at % SERVERS]!;
     return {...range, server: id, address, fence: 1, handover: null};
   });
-  const harness = createHarness(2, holdings);
+  const harness = createHarness(2, assignments);
   void harness.leadership.startTerm();
   let maxGrants = 0;
   for (let passed = 0; passed < 600; passed += 50) {
@@ -164,7 +164,7 @@
   }
   t.ok(maxGrants <= 150, `${maxGrants} in 50 ms`);
   t.ok(
-    harness.fences.length >= holdings.length,
+    harness.fences.length >= assignments.length,
     'all are granted within 0.6 s',
   );
 });
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -34,12 +34,12 @@
     },
     release: async () => ({kind: 'done', handover: null}),
   };
-  const wakefulNow = wakefulTime(clock, () => wallNow);
+  const suspendAwareNow = wakefulTime(clock, () => wallNow);
   const history = createFakeHistory(() => clock.now());
   const leadership = createLeadership({
     platform: {ledger: LEDGER, orders, history} as unknown as Platform,
     clock,
-    suspendAwareNow: wakefulNow,
+    suspendAwareNow,
     timing: createTiming(10_000),
     bootId: 'b1',
     address: '10.0.0.9:7200',
--- a/packages/gateway/test/link.test.ts
+++ b/packages/gateway/test/link.test.ts
@@ -100,7 +100,7 @@
   subscribe: () => undefined,
 };
 
-const ASK: PlaceAsk = {
+const SLOT_REQUEST: PlaceAsk = {
   id: 'r1',
   service: 'holds',
   key: null,
@@ -113,7 +113,7 @@
 };
 
 function acquire(link: LinkClient): Promise<Place> {
-  return link.acquire(ASK, createCanceller().signal);
+  return link.acquire(SLOT_REQUEST, createCanceller().signal);
 }
 
 async function waitUntil(isMet: () => Promise<boolean>): Promise<void> {
@@ -215,9 +215,9 @@
 void tap.test('a stalled connection to the leader is replaced', async t => {
   const {proxy, link, close} = await startHarness();
   await waitUntil(async () => {
-    const place = await acquire(link);
-    if (place.kind === 'granted') place.end('answered', 10);
-    return place.kind === 'granted';
+    const slot = await acquire(link);
+    if (slot.kind === 'granted') slot.end('answered', 10);
+    return slot.kind === 'granted';
   });
 
   proxy.stall();
@@ -226,17 +226,17 @@
   const tookMs = performance.now() - startedAt;
   t.ok(tookMs < 1_500, `received after ${tookMs} ms`);
   await waitUntil(async () => {
-    const place = await acquire(link);
-    if (place.kind === 'granted') place.end('answered', 10);
-    return place.kind === 'granted';
+    const slot = await acquire(link);
+    if (slot.kind === 'granted') slot.end('answered', 10);
+    return slot.kind === 'granted';
   });
   // Both slots are available: none was lost with the stalled connection.
   await waitUntil(async () => {
-    const places = [await acquire(link), await acquire(link)];
-    for (const place of places) {
-      if (place.kind === 'granted') place.end('answered', 10);
+    const slots = [await acquire(link), await acquire(link)];
+    for (const slot of slots) {
+      if (slot.kind === 'granted') slot.end('answered', 10);
     }
-    return places.every(({kind}) => kind === 'granted');
+    return slots.every(({kind}) => kind === 'granted');
   });
   close();
   t.pass();
--- a/packages/gateway/test/membership.test.ts
+++ b/packages/gateway/test/membership.test.ts
@@ -22,8 +22,8 @@
       async join() {
         group.calls++;
         seenAt.set(name, now());
-        for (const [other, i] of seenAt) {
-          if (now() - i > SILENCE_MS) seenAt.delete(other);
+        for (const [other, lastSeenAt] of seenAt) {
+          if (now() - lastSeenAt > SILENCE_MS) seenAt.delete(other);
         }
         const [first] = seenAt.keys();
         return {generation: seenAt.size, isChosen: first === name};
@@ -53,7 +53,7 @@
 async function simulate(count: number): Promise<Observed> {
   const clock = createManualClock(1_000);
   const group = createGroup(clock.now);
-  let isLost = false;
+  let isLeaderLost = false;
   let hasLeader = false;
   const lost = new Set<number>();
   const routers: RouterGroup[] = Array.from({length: count}, (_, i) => {
@@ -67,8 +67,8 @@
       emit: () => undefined,
       onJoined: () => undefined,
       onReplaced: () => undefined,
-      followsLeader: () => hasLeader && !isLost,
-      maySkipJoin: () => hasLeader && !isLost && i > DEPUTIES,
+      followsLeader: () => hasLeader && !isLeaderLost,
+      maySkipJoin: () => hasLeader && !isLeaderLost && i > DEPUTIES,
     });
   });
   await clock.advance(1_000);
@@ -77,7 +77,7 @@
   const before = group.calls;
   await clock.advance(REST_MS);
   const atRest = ((group.calls - before) * 1_000) / REST_MS;
-  isLost = true;
+  isLeaderLost = true;
   for (let i = 0; i <= DEPUTIES; i++) lost.add(i);
   const lostAt = clock.now();
   const isChosen = (): boolean =>
--- a/packages/gateway/test/restorable-store.ts
+++ b/packages/gateway/test/restorable-store.ts
@@ -22,7 +22,7 @@
 /** An in-memory store that can be restored from a snapshot. */
 export interface RestorableStore {
   takeSnapshot(): StoreRecords;
-  restore(copy: StoreRecords): void;
+  restore(snapshot: StoreRecords): void;
   open(): StoreAccess;
 }
 
@@ -119,8 +119,8 @@
   return {
     open,
     takeSnapshot: () => records,
-    restore(copy) {
-      records = copy;
+    restore(snapshot) {
+      records = snapshot;
       storeEpoch++;
     },
   };
