--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -120,12 +120,12 @@
     listeners.forEach(listener => listener()),
   );
   /** A range that gained a server may be announced with a short delay. */
-  const notifyLater = (): void => {
+  const onTablesChanged = (): void => {
     tablesRevision++;
     notifier.later();
   };
   /** Subscribers must know of a withdrawn range before its server is told. */
-  const notifyBeforeRelease = (): void => {
+  const onRangesWithdrawn = (): void => {
     tablesRevision++;
     notifier.soon();
   };
@@ -189,15 +189,15 @@
         waitingKeys: () => cfg.waitingKeys(service),
         nextFence: () => toFence(ownTerm.epoch, ownTerm.fence++),
         mayAct: () => term === ownTerm && hasAuthority(),
-        onChange: notifyLater,
-        onWithdrawn: notifyBeforeRelease,
+        onChange: onTablesChanged,
+        onWithdrawn: onRangesWithdrawn,
         onFenced: () => {
           if (term === ownTerm) endTerm('fenced');
         },
         emit: (event, fields) => emit(event, {service, ...fields}),
       });
       ownTerm.services.set(service, serviceLeader);
-      notifyBeforeRelease();
+      onRangesWithdrawn();
     }
   };
 
--- a/packages/gateway/test/thin-link.test.ts
+++ b/packages/gateway/test/thin-link.test.ts
@@ -92,14 +92,14 @@
 // that day shows 18 terms in 33 s, `leader-left` 90 to 135 times in 2 s and at
 // most 45 followers; over real connections 3 of 77 followed after 3 s, and 224
 // had left.
-void tap.test('followers keep a leader with a slow link', async t => {
+void tap.test('routers keep a leader behind a slow link', async t => {
   const {longestGapMs, fullStateMs} = await connectAtOnce(digestServers(LIST));
   t.ok(longestGapMs < LEADER_TIMEOUT_MS, `no message for ${longestGapMs} ms`);
   t.ok(fullStateMs < 3_000, `full state after ${fullStateMs} ms`);
 });
 
 // The same for routers that have just started and know no server yet.
-void tap.test('routers without a server list keep it as well', async t => {
+void tap.test('routers that know nothing keep it as well', async t => {
   const {longestGapMs, fullStateMs} = await connectAtOnce(null);
   t.ok(longestGapMs < LEADER_TIMEOUT_MS, `no message for ${longestGapMs} ms`);
   t.ok(fullStateMs < 9_000, `full state after ${fullStateMs} ms`);
@@ -107,7 +107,7 @@
 
 // Two routers that read the list at different times must compute the same
 // digest.
-void tap.test('the digest depends only on the entries', async t => {
+void tap.test('a list is identified by its entries alone', async t => {
   t.equal(digestServers([...LIST].reverse()), digestServers(LIST));
   const [first, ...others] = LIST;
   t.not(
@@ -121,7 +121,7 @@
 // for two more seconds. A follower that adopted the cursor then and led next
 // granted keys to that server for good: 377 grants in 17 s of a soak test, each
 // answered by another instance at the address, while the keys stayed unserved.
-void tap.test('a removal is sent together with its cursor', async t => {
+void tap.test('what was removed is sent with its cursor', async t => {
   const clock = createManualClock(10_000);
   const list = createServerList(clock, () => undefined, 2_000);
   const [removedServer, ...others] = LIST;
