--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -148,13 +148,13 @@
   };
 
   /** Until when leaders of an earlier store epoch may still act. */
-  const priorLeadersActUntil = (): number => history.seenAt() + AUTHORITY_MS;
+  const priorAuthorityEnd = (): number => history.seenAt() + AUTHORITY_MS;
 
   /** Whether no server can hold a key that the stored tables don't name. */
   const areUnrecordedKeysFree = (): boolean => {
     const isWhole =
       history.epoch() === 0 || (cfg.isFirstStart && !hasSeenRestore);
-    return isWhole || clock.now() >= cfg.timing.lapseOf(priorLeadersActUntil());
+    return isWhole || clock.now() >= cfg.timing.lapseOf(priorAuthorityEnd());
   };
 
   /** Whether the store was restored after the term began. */
@@ -176,7 +176,7 @@
       const serviceLeader = leadService({
         service,
         inherited: ownTerm.inherited.get(service) ?? null,
-        earlierActUntil: priorLeadersActUntil(),
+        earlierActUntil: priorAuthorityEnd(),
         isUnrecordedFree: areUnrecordedKeysFree,
         wakefulNow: cfg.suspendAwareNow,
         ledger: tableStoreForTerm(ownTerm),
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -295,7 +295,7 @@
   );
 
   return {
-    acquire(ask, signal) {
+    acquire(request, signal) {
       const current = liveSession();
       if (current === null) return Promise.resolve({kind: 'unavailable'});
       const askNumber = ++lastAsk;
@@ -311,7 +311,7 @@
           signal.removeEventListener('abort', cancel);
           resolve(toPlace(current, askNumber, reply));
         });
-        current.stream.write({kind: 'ask', ask: askNumber, place: ask});
+        current.stream.write({kind: 'ask', ask: askNumber, place: request});
       });
     },
     leaderAgeMs: () => clock.now() - heardAt,
--- a/packages/gateway/src/local-slot-provider.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -24,16 +24,17 @@
 export function createLocalSlotProvider(cfg: LocalSlotProviderConfig): Places {
   const {leadership, issuer, owners, link} = cfg;
   return {
-    acquire(ask, signal) {
-      if (!leadership.isLeading()) return link.acquire(ask, signal);
-      if (ask.key !== null) owners.noteRequest(ask.service, ask.key);
+    acquire(request, signal) {
+      if (!leadership.isLeading()) return link.acquire(request, signal);
+      if (request.key !== null)
+        owners.noteRequest(request.service, request.key);
       return new Promise<Place>(resolve => {
         const cancel = (): void => {
           endSlot('cancelled', 0);
           resolve({kind: 'unavailable'});
         };
         signal.addEventListener('abort', cancel);
-        const endSlot = issuer.ask(ask, reply => {
+        const endSlot = issuer.ask(request, reply => {
           signal.removeEventListener('abort', cancel);
           if (reply.kind !== 'granted') return resolve(reply);
           // The request's own code records the outcome; this only releases
