--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -14,7 +14,7 @@
   createSession,
   sendEnd,
   handleMessage,
-  toPlace,
+  toSlotResult,
   leavingUnknownToLeader,
   suspectsUnknownToLeader,
   type FollowerState,
@@ -309,7 +309,7 @@
         signal.addEventListener('abort', cancel);
         current.pending.set(askNumber, reply => {
           signal.removeEventListener('abort', cancel);
-          resolve(toPlace(current, askNumber, reply));
+          resolve(toSlotResult(current, askNumber, reply));
         });
         current.stream.write({kind: 'ask', ask: askNumber, place: request});
       });
--- a/packages/gateway/src/link-codec.ts
+++ b/packages/gateway/src/link-codec.ts
@@ -21,7 +21,7 @@
   ...[number, number, number, string, ...string[]],
 ];
 /** Kind, `ask`, outcome, time taken. */
-type EndRow = ['e', number, PlaceEnd, number];
+type SlotEndRow = ['e', number, PlaceEnd, number];
 /** Kind, `ask`, and the server of the granted slot or another reply. */
 type ReplyRow = ['r', number, string | Exclude<PlaceReply, {kind: 'granted'}>];
 
@@ -49,14 +49,14 @@
   }
   if (message.kind === 'end') {
     const {ask, how, tookMs} = message;
-    return encode(['e', ask, how, tookMs] satisfies EndRow);
+    return encode(['e', ask, how, tookMs] satisfies SlotEndRow);
   }
   return encode(message);
 }
 
 /** Decodes a message from a follower. */
 export function decodeFollower(bytes: Buffer): FollowerMessage {
-  const decoded = decode(bytes) as FollowerMessage | AskRow | EndRow;
+  const decoded = decode(bytes) as FollowerMessage | AskRow | SlotEndRow;
   if (!Array.isArray(decoded)) return decoded;
   if (decoded[0] === 'e') {
     const [, ask, how, tookMs] = decoded;
--- a/packages/gateway/src/link-messages.ts
+++ b/packages/gateway/src/link-messages.ts
@@ -20,7 +20,7 @@
 import type {Candidate} from './host-capacity.js';
 
 /** A slot request in wire format; `hello` has the router's data centre. */
-export type LinkAsk = Omit<PlaceAsk, 'dataCentre'>;
+export type WireSlotRequest = Omit<PlaceAsk, 'dataCentre'>;
 
 /** A message from a follower to the leader. */
 export type FollowerMessage =
@@ -31,7 +31,11 @@
       readonly listDigest: string | null;
     })
   /** Requests a slot; `ask` identifies the request within the stream. */
-  | {readonly kind: 'ask'; readonly ask: number; readonly place: LinkAsk}
+  | {
+      readonly kind: 'ask';
+      readonly ask: number;
+      readonly place: WireSlotRequest;
+    }
   /** Releases the slot, or cancels the request for one. */
   | {
       readonly kind: 'end';
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -32,7 +32,7 @@
   /** `ip:port`. */
   readonly listen: string;
   readonly emit: Emit;
-  readonly issuer: PlaceIssuer;
+  readonly allocator: PlaceIssuer;
   readonly suspects: Suspects;
   readonly limits: ServerLimits;
   /** `ip:port` of the leader that this router follows; null if none. */
@@ -248,7 +248,7 @@
     if (place.key !== null) cfg.noteRequest(place.service, place.key);
     let isRefused = false;
     const dataCentre = candidate?.dataCentre ?? '';
-    const endSlot = cfg.issuer.ask({...place, dataCentre}, reply => {
+    const endSlot = cfg.allocator.ask({...place, dataCentre}, reply => {
       isRefused = reply.kind !== 'granted';
       if (isRefused) pending.delete(ask);
       stream.write({kind: 'reply', ask, reply});
--- a/packages/gateway/src/link-session.ts
+++ b/packages/gateway/src/link-session.ts
@@ -91,7 +91,7 @@
 }
 
 /** Converts a reply to the result for the request that waits for it. */
-export function toPlace(
+export function toSlotResult(
   session: Session,
   number: number,
   reply: PlaceReply,
--- a/packages/gateway/src/local-slot-provider.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -6,7 +6,7 @@
 /** Sources of slots for this router's own requests. */
 export interface LocalSlotProviderConfig {
   readonly leadership: Leadership;
-  readonly issuer: PlaceIssuer;
+  readonly allocator: PlaceIssuer;
   readonly owners: KeyOwners;
   /** Requests slots from the leader if that is another router. */
   readonly link: Places;
@@ -22,7 +22,7 @@
  * ```
  */
 export function createLocalSlotProvider(cfg: LocalSlotProviderConfig): Places {
-  const {leadership, issuer, owners, link} = cfg;
+  const {leadership, allocator: issuer, owners, link} = cfg;
   return {
     acquire(request, signal) {
       if (!leadership.isLeading()) return link.acquire(request, signal);
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -263,7 +263,12 @@
           link.reportReplaced(server);
         },
       },
-      places: createLocalSlotProvider({leadership, issuer, owners, link}),
+      places: createLocalSlotProvider({
+        leadership,
+        allocator: issuer,
+        owners,
+        link,
+      }),
       dataCentre: settings.host.dataCentre,
       budget: createRetryBudget(settings.retries, countRouters),
       quarantine: createQuarantine(suspects, ends),
@@ -301,7 +306,7 @@
     room: settings.host.room,
     onLeadershipOffered: () => succession.handleOffer(),
     leadership,
-    issuer,
+    allocator: issuer,
     list,
     suspects,
     limits,
--- a/packages/gateway/test/link.test.ts
+++ b/packages/gateway/test/link.test.ts
@@ -177,7 +177,14 @@
   const listen = await freeAddress();
   const leaderList = createServerList(clock, emit, 2_000);
   const server = await serveLinks({
-    ...{listen, clock, emit, leadership: LEADING, issuer, room: ROOM},
+    ...{
+      listen,
+      clock,
+      emit,
+      leadership: LEADING,
+      allocator: issuer,
+      room: ROOM,
+    },
     suspects,
     limits,
     list: leaderList,
