--- a/packages/gateway/src/local-slot-provider.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -18,11 +18,11 @@
  *
  * @example
  * ```ts
- * const slots = createLocalSlotProvider({leadership, issuer, owners, link});
+ * const slots = createLocalSlotProvider({leadership, allocator, owners, link});
  * ```
  */
 export function createLocalSlotProvider(cfg: LocalSlotProviderConfig): Places {
-  const {leadership, allocator: issuer, owners, link} = cfg;
+  const {leadership, allocator, owners, link} = cfg;
   return {
     acquire(request, signal) {
       if (!leadership.isLeading()) return link.acquire(request, signal);
@@ -34,7 +34,7 @@
           resolve({kind: 'unavailable'});
         };
         signal.addEventListener('abort', cancel);
-        const endSlot = issuer.ask(request, reply => {
+        const endSlot = allocator.ask(request, reply => {
           signal.removeEventListener('abort', cancel);
           if (reply.kind !== 'granted') return resolve(reply);
           // The request's own code records the outcome; this only releases
--- a/packages/gateway/test/link.test.ts
+++ b/packages/gateway/test/link.test.ts
@@ -170,7 +170,7 @@
   backends.update([SERVER]);
   const suspects = createSuspects(clock, emit);
   const limits = createServerLimits({clock, emit});
-  const issuer = createPlaceIssuer({
+  const allocator = createPlaceIssuer({
     ...{backends, clock, emit, suspects, limits},
     ownerOf: () => ({kind: 'none'}),
   });
@@ -182,7 +182,7 @@
       clock,
       emit,
       leadership: LEADING,
-      allocator: issuer,
+      allocator,
       room: ROOM,
     },
     suspects,
