--- a/packages/gateway/src/host-capacity.ts
+++ b/packages/gateway/src/host-capacity.ts
@@ -40,7 +40,7 @@
  *
  * @example
  * ```ts
- * const next = pickRoomiest(own, followers);
+ * const next = pickLargestHost(own, followers);
  * if (next !== null) offerLeadership(next.address);
  * ```
  */
--- a/packages/gateway/src/link-session.ts
+++ b/packages/gateway/src/link-session.ts
@@ -110,8 +110,8 @@
   rows: readonly Suspect[],
 ): readonly Suspect[] {
   return rows.filter(row => {
-    const heard = suspects.get(row.content);
-    return heard === undefined || joined(heard, row) !== heard;
+    const leaderRow = suspects.get(row.content);
+    return leaderRow === undefined || joined(leaderRow, row) !== leaderRow;
   });
 }
 
--- a/packages/gateway/src/quarantine-page.ts
+++ b/packages/gateway/src/quarantine-page.ts
@@ -89,15 +89,15 @@
   const body = await readBody(req, MAX_BODY_BYTES);
   if (body.kind !== 'read')
     return problem(413, 'the request body is too large');
-  const asked = parseClearRequest(body.bytes);
-  if (asked === null)
+  const request = parseClearRequest(body.bytes);
+  if (request === null)
     return problem(
       400,
       'content and reason are required as non-empty JSON strings',
     );
-  const isCleared = suspects.clear(asked.content, operator, asked.reason);
+  const isCleared = suspects.clear(request.content, operator, request.reason);
   if (!isCleared) return problem(404, 'no such request is quarantined');
-  return {status: 200, body: {cleared: asked.content}};
+  return {status: 200, body: {cleared: request.content}};
 }
 
 interface ClearRequest {
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -42,7 +42,7 @@
  *
  * @example
  * ```ts
- * const isInformed = shareSuspects(cfg);
+ * const isQuarantineKnown = shareSuspects(cfg);
  * ```
  */
 export function shareSuspects(cfg: ShareSuspectsConfig): () => boolean {
