--- a/packages/gateway/src/caller-headers.ts
+++ b/packages/gateway/src/caller-headers.ts
@@ -3,25 +3,25 @@
 import type {WireNames} from '@banyandrum/dispatch/wire.js';
 
 /** Time limit of requests that name none and have no route's, in ms. */
-const DEFAULT_DEADLINE_MS = 30_000;
+const DEFAULT_TIMEOUT_MS = 30_000;
 
 /** Names of header fields that aren't passed on as the caller sent them. */
-export type OwnHeaders = ReadonlySet<string>;
+export type StrippedHeaders = ReadonlySet<string>;
 
 /** Those that each attempt sets anew, and those of one connection only. */
-export function ownHeaders(names: WireNames): OwnHeaders {
-  const own = new Set([
+export function strippedHeaders(names: WireNames): StrippedHeaders {
+  const stripped = new Set([
     ...HOP_BY_HOP,
     'content-length',
     names.deadlineMs,
     names.expectedServer,
   ]);
-  own.delete('host');
-  return own;
+  stripped.delete('host');
+  return stripped;
 }
 
 /** The only value of a header field. */
-export function header(req: IncomingMessage, name: string): string | undefined {
+export function headerValue(req: IncomingMessage, name: string): string | undefined {
   const value = req.headers[name];
   return typeof value === 'string' ? value : undefined;
 }
@@ -35,36 +35,36 @@
 
 /** The key that the request names; null where it isn't one. */
 export function readKey(names: WireNames, req: IncomingMessage): number | null {
-  const text = header(req, names.key);
+  const text = headerValue(req, names.key);
   if (text === undefined || !/^\d{1,5}$/.test(text)) return null;
   return Number(text);
 }
 
 /** Names and values in turn, as they go to a server. */
-export function forwardHeaders(
-  own: OwnHeaders,
+export function forwardedHeaders(
+  stripped: StrippedHeaders,
   req: IncomingMessage,
   id: string,
   idName: string,
 ): readonly string[] {
   const headers: string[] = [];
-  const named = new Set(
+  const connectionOptions = new Set(
     (req.headers.connection ?? '').toLowerCase().split(/\s*,\s*/),
   );
   for (let at = 0; at + 1 < req.rawHeaders.length; at += 2) {
     const name = req.rawHeaders[at]!.toLowerCase();
-    if (own.has(name) || named.has(name)) continue;
+    if (stripped.has(name) || connectionOptions.has(name)) continue;
     headers.push(req.rawHeaders[at]!, req.rawHeaders[at + 1]!);
   }
-  if (header(req, idName) === undefined) headers.push(idName, id);
+  if (headerValue(req, idName) === undefined) headers.push(idName, id);
   return headers;
 }
 
 /** Time that the caller gives for the answer, in ms. */
-export function callerDeadlineMs(
+export function callerTimeoutMs(
   names: WireNames,
   req: IncomingMessage,
 ): number {
-  const told = Number(header(req, names.deadlineMs));
-  return told > 0 ? told : DEFAULT_DEADLINE_MS;
+  const timeoutMs = Number(headerValue(req, names.deadlineMs));
+  return timeoutMs > 0 ? timeoutMs : DEFAULT_TIMEOUT_MS;
 }
--- a/packages/gateway/src/gathered.ts
+++ b/packages/gateway/src/change-coalescer.ts
@@ -1,17 +1,17 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 
 /** Tells of changes, many at a time. */
-export interface Gathered {
+export interface ChangeCoalescer {
   /** Tells once this turn is over, before anything else is read. */
-  soon(): void;
+  notifySoon(): void;
   /** Tells within some milliseconds. */
-  later(): void;
+  notifyLater(): void;
   /** Tells at once, of all until now. */
-  now(): void;
+  notifyNow(): void;
 }
 
 /** Changes that may wait are told of together after this time, in ms. */
-const GATHER_MS = 10;
+const COALESCE_MS = 10;
 
 /**
  * Gathers changes. What hears of them looks at all requests that wait: told one
@@ -23,28 +23,28 @@
  * gathered.later();
  * ```
  */
-export function createGathered(clock: Clock, tell: () => void): Gathered {
-  let isSoon = false;
-  let cancelLater: (() => void) | null = null;
+export function createChangeCoalescer(clock: Clock, notify: () => void): ChangeCoalescer {
+  let isQueued = false;
+  let cancelTimer: (() => void) | null = null;
 
   const now = (): void => {
-    cancelLater?.();
-    cancelLater = null;
-    isSoon = false;
-    tell();
+    cancelTimer?.();
+    cancelTimer = null;
+    isQueued = false;
+    notify();
   };
 
   return {
-    now,
-    soon() {
-      if (isSoon) return;
-      isSoon = true;
+    notifyNow: now,
+    notifySoon() {
+      if (isQueued) return;
+      isQueued = true;
       queueMicrotask(() => {
-        if (isSoon) now();
+        if (isQueued) now();
       });
     },
-    later() {
-      cancelLater ??= clock.after(GATHER_MS, now);
+    notifyLater() {
+      cancelTimer ??= clock.after(COALESCE_MS, now);
     },
   };
 }
--- a/packages/gateway/src/config-keeper.ts
+++ b/packages/gateway/src/config-keeper.ts
@@ -130,7 +130,7 @@
 
   const goesOn = (): boolean => !isStopped;
   const loop = {clock, emit, goesOn};
-  repeat({...loop, name: 'config', ms: 0}, async () => {
+  repeat({...loop, name: 'config', pauseMs: 0}, async () => {
     if (isRelayed()) {
       await sleep(clock, RELAY_LOOK_MS);
       beganAt = clock.now();
@@ -152,7 +152,7 @@
     });
   };
 
-  repeat({...loop, name: 'config-watch', ms: WATCH_MS}, async () => {
+  repeat({...loop, name: 'config-watch', pauseMs: WATCH_MS}, async () => {
     if (isToldOfNews() || clock.now() - beganAt < SILENT_MS) return;
     look();
   });
--- a/packages/gateway/src/event-log.ts
+++ b/packages/gateway/src/event-log.ts
@@ -12,14 +12,14 @@
 }
 
 /** Lines kept while the output is busy. */
-const MAX_LINES = 2_000;
+const MAX_BUFFERED_LINES = 2_000;
 /** One write takes this many lines at the most. */
-const LINES_A_WRITE = 200;
+const MAX_LINES_PER_WRITE = 200;
 /** Lines are gathered for this time, in ms: fewer, larger writes. */
-const GATHER_MS = 100;
+const BATCH_DELAY_MS = 100;
 
 /** What each level writes. */
-const WANTED: Readonly<
+const LEVEL_FILTERS: Readonly<
   Record<LogLevel, (event: string, fields: EventFields) => boolean>
 > = {
   info: () => true,
@@ -43,44 +43,44 @@
   host: string,
   level: LogLevel = 'info',
 ): EventLog {
-  const isWanted = WANTED[level];
+  const isWanted = LEVEL_FILTERS[level];
   const lines: string[] = [];
   let dropped = 0;
-  let toldDropped = 0;
+  let reportedDropped = 0;
   let isWriting = false;
   let timer: NodeJS.Timeout | null = null;
-  let whenIdle: (() => void)[] = [];
+  let idleListeners: (() => void)[] = [];
 
   const finish = (): void => {
     isWriting = false;
-    if (lines.length > 0) return writeSome();
-    whenIdle.forEach(resolve => resolve());
-    whenIdle = [];
+    if (lines.length > 0) return writeBatch();
+    idleListeners.forEach(resolve => resolve());
+    idleListeners = [];
   };
 
-  const writeRest = (data: Buffer): void => {
+  const writeFully = (data: Buffer): void => {
     write(fd, data, (err, written) => {
       if (err?.code === 'EAGAIN') {
-        setTimeout(() => writeRest(data), GATHER_MS).unref();
+        setTimeout(() => writeFully(data), BATCH_DELAY_MS).unref();
         return;
       }
       // Nobody reads any more: the lines have nowhere else to go.
       if (err) return finish();
-      if (written < data.length) return writeRest(data.subarray(written));
+      if (written < data.length) return writeFully(data.subarray(written));
       finish();
     });
   };
 
-  const writeSome = (): void => {
+  const writeBatch = (): void => {
     timer = null;
     if (isWriting) return;
     isWriting = true;
-    const some = lines.splice(0, LINES_A_WRITE);
-    if (dropped > toldDropped) {
-      some.push(format('lines-dropped', {count: dropped - toldDropped}));
-      toldDropped = dropped;
+    const batch = lines.splice(0, MAX_LINES_PER_WRITE);
+    if (dropped > reportedDropped) {
+      batch.push(format('lines-dropped', {count: dropped - reportedDropped}));
+      reportedDropped = dropped;
     }
-    writeRest(Buffer.from(some.join('')));
+    writeFully(Buffer.from(batch.join('')));
   };
 
   const format: (...args: Parameters<Emit>) => string = (event, fields) =>
@@ -89,21 +89,21 @@
   return {
     emit(event, fields) {
       if (!isWanted(event, fields)) return;
-      if (lines.length >= MAX_LINES) {
+      if (lines.length >= MAX_BUFFERED_LINES) {
         dropped++;
         return;
       }
       lines.push(format(event, fields));
       if (isWriting || timer !== null) return;
-      timer = setTimeout(writeSome, GATHER_MS);
+      timer = setTimeout(writeBatch, BATCH_DELAY_MS);
       timer.unref();
     },
     dropped: () => dropped,
     flush(ms) {
       return new Promise(resolve => {
         setTimeout(resolve, ms);
-        whenIdle.push(resolve);
-        if (!isWriting) writeSome();
+        idleListeners.push(resolve);
+        if (!isWriting) writeBatch();
       });
     },
   };
--- a/packages/gateway/src/entry.ts
+++ b/packages/gateway/src/frontend.ts
@@ -19,33 +19,33 @@
 import type {Route, RoutingConfig} from '@banyandrum/routing/config.js';
 import {matchRoute} from '@banyandrum/routing/match-route.js';
 import type {Splitter} from '@banyandrum/routing/split.js';
-import {createCallerAges, type CallerAges} from './caller-ages.js';
+import {createRetryAges, type RetryAges} from './retry-ages.js';
 import {
-  callerDeadlineMs,
-  forwardHeaders,
-  header,
+  callerTimeoutMs,
+  forwardedHeaders,
+  headerValue,
   headerBytes,
-  ownHeaders,
+  strippedHeaders,
   readKey,
-  type OwnHeaders,
+  type StrippedHeaders,
 } from './caller-headers.js';
 import {readBody} from './read-body.js';
-import {createTurns, type Turns} from './turns.js';
-import {send, statusOf, type Answered} from './write-answer.js';
+import {createRequestPipelines, type RequestPipelines} from './request-pipelines.js';
+import {sendResponse, statusOfFailure, type FrontendResponse} from './write-response.js';
 
 /** What the callers' interface needs. */
-export interface EntryConfig {
+export interface FrontendConfig {
   readonly forward: ForwardConfig;
   readonly splitter: Splitter;
   readonly clock: Clock;
   readonly emit: Emit;
   config(): RoutingConfig | null;
   /** Whether it is known which requests are quarantined. */
-  isInformed(): boolean;
+  isQuarantineKnown(): boolean;
   /** How late this process comes to its work, in ms. */
   lagMs(): number;
   /** Counts an answered request. */
-  count(outcome: RequestOutcome): void;
+  recordRequest(outcome: RequestOutcome): void;
 }
 
 /** How a request was answered. */
@@ -59,7 +59,7 @@
 }
 
 /** The callers' interface. */
-export interface Entry {
+export interface Frontend {
   readonly server: Server;
   /** Requests that were read and not answered to the end. */
   inFlight(): number;
@@ -69,19 +69,19 @@
   applyLimits(config: RoutingConfig): void;
 }
 
-interface EntryState extends EntryConfig {
+interface FrontendState extends FrontendConfig {
   inFlight: number;
   isClosing: boolean;
-  readonly turns: Turns;
-  readonly ages: CallerAges;
+  readonly pipelines: RequestPipelines;
+  readonly retryAges: RetryAges;
 }
 
 /** Largest header that the parser takes, in bytes; routes' limits are less. */
 const PARSER_HEADER_BYTES = 128 * 1024;
 /** The answer leaves this long before the time limit, in ms. */
-const ANSWER_MARGIN_MS = 25;
+const RESPONSE_MARGIN_MS = 25;
 /** The parser looks for slow and idle connections this often, in ms. */
-const CHECK_MS = 500;
+const CONNECTION_CHECK_MS = 500;
 /** A caller that reuses a connection at the last moment must find it open. */
 const IDLE_MARGIN_MS = 1_000;
 /**
@@ -92,7 +92,7 @@
  * makes up to 70 ms; callers with the shortest limits known leave a process that
  * hasn't read their request after 133 ms.
  */
-const MAX_LAG_MS = 100;
+const MAX_LOOP_LAG_MS = 100;
 /** Callers come back to another router after this time, in ms. */
 const BUSY_RETRY_MS = 40;
 /** Callers come back after this time to a router that starts, in ms. */
@@ -107,23 +107,23 @@
  * entry.server.listen(8381, '10.1.0.18');
  * ```
  */
-export function createEntry(cfg: EntryConfig): Entry {
-  const state: EntryState = {
+export function createFrontend(cfg: FrontendConfig): Frontend {
+  const state: FrontendState = {
     ...cfg,
     inFlight: 0,
     isClosing: false,
-    turns: createTurns(),
-    ages: createCallerAges(),
+    pipelines: createRequestPipelines(),
+    retryAges: createRetryAges(),
   };
-  const own = ownHeaders(cfg.forward.names);
+  const stripped = strippedHeaders(cfg.forward.names);
   const server = createServer(
     {
       maxHeaderSize: PARSER_HEADER_BYTES,
-      connectionsCheckingInterval: CHECK_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_MS,
       noDelay: true,
       requestTimeout: 0,
     },
-    (req, res) => void serve(state, own, req, res),
+    (req, res) => void handleRequest(state, stripped, req, res),
   );
   return {
     server,
@@ -138,55 +138,55 @@
   };
 }
 
-async function serve(
-  state: EntryState,
-  own: OwnHeaders,
+async function handleRequest(
+  state: FrontendState,
+  stripped: StrippedHeaders,
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
   const arrivedAt = state.clock.now();
   const canceller = createCanceller();
-  let isOver = false;
-  const leave = (): void => {
-    if (isOver) return;
-    isOver = true;
+  let isReleased = false;
+  const release = (): void => {
+    if (isReleased) return;
+    isReleased = true;
     state.inFlight--;
     if (!res.writableFinished) canceller.abort();
   };
-  const turn = state.turns.take(req.socket, leave);
+  const pipelined = state.pipelines.accept(req.socket, release);
   // Its caller takes it as unread, and sends it again elsewhere.
-  if (turn === null) return;
+  if (pipelined === null) return;
   state.inFlight++;
   res.once('close', () => {
-    turn.end();
-    leave();
+    pipelined.finish();
+    release();
   });
   const {requestId} = state.forward.names;
-  const id = header(req, requestId) ?? createId();
-  const arriving = {id, arrivedAt, signal: canceller.signal};
-  const arrival: Arrival = {...arriving, route: null, askedMs: 0};
-  const answered = await answer(state, own, req, arrival);
+  const id = headerValue(req, requestId) ?? createId();
+  const initial = {id, arrivedAt, signal: canceller.signal};
+  const context: RequestContext = {...initial, route: null, askedMs: 0};
+  const response = await routeRequest(state, stripped, req, context);
   const isGone = req.socket.destroyed;
   if (!isGone) {
     // Cut at the last answer of those that were passed on, none before.
-    const isLast = (state.isClosing && turn.isNewest()) || !req.complete;
-    if (isLast) turn.close();
-    send({requestId, isLast}, req, res, answered);
+    const isLast = (state.isClosing && pipelined.isNewest()) || !req.complete;
+    if (isLast) pipelined.markLast();
+    sendResponse({requestId, isLast}, req, res, response);
   }
-  note(state, arrival, answered, isGone);
+  logAndCount(state, context, response, isGone);
 }
 
 /** One line and one count for each request. */
-function note(
-  state: EntryState,
-  {id, arrivedAt, route, askedMs}: Arrival,
-  answered: Answered,
+function logAndCount(
+  state: FrontendState,
+  {id, arrivedAt, route, askedMs}: RequestContext,
+  response: FrontendResponse,
   isGone: boolean,
 ): void {
   const tookMs = Math.round(state.clock.now() - arrivedAt);
-  const {status, outcome, verdict, server} = describe(answered);
+  const {status, outcome, verdict, server} = summarize(response);
   const routeName = route?.name ?? null;
-  state.count({route: routeName, status, outcome, tookMs});
+  state.recordRequest({route: routeName, status, outcome, tookMs});
   state.emit('request', {
     ...{id, route: routeName, status, outcome, verdict, server, tookMs},
     config: state.config()?.version ?? null,
@@ -195,26 +195,26 @@
   });
 }
 
-interface Description {
+interface ResponseSummary {
   readonly status: number;
   readonly outcome: string;
   readonly verdict?: string;
   readonly server?: string;
 }
 
-function describe(answered: Answered): Description {
-  if (answered.kind === 'answer') {
-    const {answer: own, server} = answered;
-    return {status: own.status, outcome: 'answered', server};
+function summarize(response: FrontendResponse): ResponseSummary {
+  if (response.kind === 'answer') {
+    const {answer: serverAnswer, server} = response;
+    return {status: serverAnswer.status, outcome: 'answered', server};
   }
-  if (answered.kind === 'rejected') {
-    return {status: answered.status, outcome: 'rejected'};
+  if (response.kind === 'rejected') {
+    return {status: response.status, outcome: 'rejected'};
   }
-  const {code, verdict} = answered.failure;
-  return {status: statusOf(answered.failure), outcome: code, verdict};
+  const {code, verdict} = response.failure;
+  return {status: statusOfFailure(response.failure), outcome: code, verdict};
 }
 
-interface Arrival {
+interface RequestContext {
   readonly id: string;
   readonly arrivedAt: number;
   readonly signal: ReturnType<typeof createCanceller>['signal'];
@@ -224,41 +224,41 @@
   askedMs: number;
 }
 
-async function answer(
-  state: EntryState,
-  own: OwnHeaders,
+async function routeRequest(
+  state: FrontendState,
+  stripped: StrippedHeaders,
   req: IncomingMessage,
-  arrival: Arrival,
-): Promise<Answered> {
+  context: RequestContext,
+): Promise<FrontendResponse> {
   const config = state.config();
-  const {id} = arrival;
+  const {id} = context;
   const {names} = state.forward;
   if (config === null) {
     return notRun('no configuration is known yet', STARTING_RETRY_MS);
   }
-  if (!state.isInformed()) {
+  if (!state.isQuarantineKnown()) {
     return notRun('what is quarantined is not known yet', STARTING_RETRY_MS);
   }
-  if (state.lagMs() > MAX_LAG_MS) {
+  if (state.lagMs() > MAX_LOOP_LAG_MS) {
     return notRun('the processor is used up', BUSY_RETRY_MS);
   }
   if (headerBytes(req) > config.limits.maxHeaderBytes) {
-    return reject(431, 'the header is too large');
+    return rejected(431, 'the header is too large');
   }
   const route = matchRoute(config, req.headers.host ?? '', req.url ?? '/');
-  if (route === null) return reject(404, 'no route');
-  arrival.route = route;
+  if (route === null) return rejected(404, 'no route');
+  context.route = route;
   const service = state.splitter.next(route);
-  const keyed = config.services.get(service)?.isKeyed ?? false;
-  const key = keyed ? readKey(names, req) : null;
-  if (keyed && key === null) return reject(400, 'the key is missing');
+  const isKeyed = config.services.get(service)?.isKeyed ?? false;
+  const key = isKeyed ? readKey(names, req) : null;
+  if (isKeyed && key === null) return rejected(400, 'the key is missing');
   const body = await readBody(req, config.limits.maxBodyBytes);
-  if (body.kind === 'too-large') return reject(413, 'the body is too large');
+  if (body.kind === 'too-large') return rejected(413, 'the body is too large');
   if (body.kind === 'cut') {
     return {kind: 'failure', failure: failure('not-run', 'cancelled', 'cut')};
   }
-  const limitMs = callerDeadlineMs(names, req);
-  arrival.askedMs = state.ages.take(route.name, limitMs);
+  const timeoutMs = callerTimeoutMs(names, req);
+  context.askedMs = state.retryAges.observe(route.name, timeoutMs);
   const asked: Asked = {
     caller: req.socket.remoteAddress ?? '',
     method: req.method ?? 'GET',
@@ -271,25 +271,25 @@
     id,
     ...asked,
     contents: () => (contents ??= contentsOf(asked)),
-    headers: forwardHeaders(own, req, id, names.requestId),
+    headers: forwardedHeaders(stripped, req, id, names.requestId),
     route,
     service,
-    firstAskedAt: arrival.arrivedAt - arrival.askedMs,
-    deadline: deadlineOf(limitMs, route, arrival.arrivedAt),
-    signal: arrival.signal,
+    firstAskedAt: context.arrivedAt - context.askedMs,
+    deadline: deadlineOf(timeoutMs, route, context.arrivedAt),
+    signal: context.signal,
   });
 }
 
-function reject(status: number, detail: string): Answered {
+function rejected(status: number, detail: string): FrontendResponse {
   return {kind: 'rejected', status, detail};
 }
 
-function notRun(detail: string, retryAfterMs: number): Answered {
+function notRun(detail: string, retryAfterMs: number): FrontendResponse {
   const reason = failure('not-run', 'overloaded', detail, retryAfterMs);
   return {kind: 'failure', failure: reason};
 }
 
-function deadlineOf(limitMs: number, route: Route, arrivedAt: number): number {
-  const ms = Math.min(limitMs, route.timeoutMs);
-  return arrivedAt + ms - ANSWER_MARGIN_MS;
+function deadlineOf(timeoutMs: number, route: Route, arrivedAt: number): number {
+  const ms = Math.min(timeoutMs, route.timeoutMs);
+  return arrivedAt + ms - RESPONSE_MARGIN_MS;
 }
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -18,7 +18,7 @@
 import type {LedServer} from '@banyandrum/ranges/lead-state.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
 import {AUTHORITY_MS, type HoldTiming} from '@banyandrum/ranges/timing.js';
-import {createGathered} from './gathered.js';
+import {createChangeCoalescer} from './change-coalescer.js';
 import type {KeyCounts, ServedTables} from './key-owners.js';
 import type {Platform} from './platform.js';
 
@@ -113,18 +113,18 @@
   let changes = 0;
   let cancelTick = (): void => undefined;
 
-  const gathered = createGathered(clock, () =>
+  const gathered = createChangeCoalescer(clock, () =>
     listeners.forEach(listener => listener()),
   );
   /** What gains a server may be told of a little later. */
   const changed = (): void => {
     changes++;
-    gathered.later();
+    gathered.notifyLater();
   };
   /** What loses its server is known before the server hears of it. */
   const withdrawn = (): void => {
     changes++;
-    gathered.soon();
+    gathered.notifySoon();
   };
 
   const mayAct = (): boolean => cfg.wakefulNow() - confirmedAt < AUTHORITY_MS;
@@ -140,10 +140,10 @@
     stop(term);
     term = null;
     changes++;
-    gathered.now();
+    gathered.notifyNow();
   };
 
-  const earlierActUntil = (): number => history.seenAt() + AUTHORITY_MS;
+  const earlierActUntil = (): number => history.epochSeenAt() + AUTHORITY_MS;
 
   const isUnrecordedFree = (): boolean => {
     const isWhole =
@@ -158,7 +158,7 @@
   /** A term that the store lost records nothing: its successor would. */
   const ledgerOf = (own: Term): Pick<Ledger, 'save'> => ({
     save: async table =>
-      isRestored(own) ? 'failed' : platform.ledger.save(table),
+      isRestored(own) ? 'failed' : platform.tableStore.save(table),
   });
 
   const leadNew = (own: Term): void => {
@@ -171,7 +171,7 @@
         isUnrecordedFree,
         wakefulNow: cfg.wakefulNow,
         ledger: ledgerOf(own),
-        orders: platform.orders,
+        orders: platform.leaseClient,
         clock,
         timing: cfg.timing,
         servers: () => cfg.serversOf(service),
@@ -231,8 +231,8 @@
   const start = async (before: Term | null): Promise<void> => {
     isStarting = true;
     const askedAt = cfg.wakefulNow();
-    const epoch = await platform.ledger.begin(cfg.address);
-    const stored = epoch === null ? null : await platform.ledger.load();
+    const epoch = await platform.tableStore.begin(cfg.address);
+    const stored = epoch === null ? null : await platform.tableStore.load();
     if (
       epoch === null ||
       stored === null ||
@@ -272,7 +272,7 @@
 
   const check = async (own: Term): Promise<void> => {
     const askedAt = cfg.wakefulNow();
-    const isNewest = await platform.ledger.isNewest();
+    const isNewest = await platform.tableStore.isNewest();
     if (term !== own) return;
     if (isRestored(own)) return void goOn(own);
     if (isNewest === true) confirmedAt = Math.max(confirmedAt, askedAt);
--- a/packages/gateway/src/led-servers.ts
+++ b/packages/gateway/src/led-servers.ts
@@ -24,7 +24,7 @@
   service: string,
 ): readonly LedServer[] {
   const listed = backends.ofService(service);
-  const known = listed.map(({info}) => times.of(info.id, 0));
+  const known = listed.map(({info}) => times.estimateMs(info.id, 0));
   const typical = meanMs(known, DEFAULT_SERVICE_MS);
   return listed
     .filter(({info, isGone}) => !info.isLeaving && !isGone)
@@ -33,7 +33,7 @@
       address: info.address,
       slots: info.slots,
       serviceMs: Math.max(
-        times.of(info.id, typical),
+        times.estimateMs(info.id, typical),
         limitedServiceMs(info.slots, limits.limitOf(info.id)),
       ),
       isOpen: suspectUntil <= clock.now() && !hasEnded(info.id),
--- a/packages/gateway/src/limit-connections.ts
+++ b/packages/gateway/src/limit-connections.ts
@@ -2,9 +2,9 @@
 import type {RoutingConfig} from '@banyandrum/routing/config.js';
 
 /** Connections of each server that are left for orders. */
-const SPARE_CONNECTIONS = 4;
+const RESERVED_CONNECTIONS = 4;
 /** One that hangs must not keep a router from a server altogether. */
-const LEAST = 2;
+const MIN_CONNECTIONS = 2;
 
 /**
  * Gives this router its share of what each server takes from all of them.
@@ -20,8 +20,8 @@
   routers: number,
 ): void {
   backends.setConnectionLimit(service => {
-    const most = services.get(service)?.maxConnections ?? 0;
-    const own = Math.floor((most - SPARE_CONNECTIONS) / routers);
-    return Math.max(LEAST, own);
+    const serverLimit = services.get(service)?.maxConnections ?? 0;
+    const share = Math.floor((serverLimit - RESERVED_CONNECTIONS) / routers);
+    return Math.max(MIN_CONNECTIONS, share);
   });
 }
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -254,7 +254,7 @@
 
   const goesOn = (): boolean => !isStopped;
   const {emit} = cfg;
-  repeat({clock, emit, name: 'link', ms: SEEK_MS, goesOn}, async () => {
+  repeat({clock, emit, name: 'link', pauseMs: SEEK_MS, goesOn}, async () => {
     if (wanted === null && clock.now() - triedAt < RETRY_MS) return;
     for (let hops = 0; hops < MAX_HOPS && !cfg.isLeading(); hops++) {
       const leader = wanted?.address ?? next ?? guess();
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -9,7 +9,7 @@
   type sendUnaryData,
   type ServerDuplexStream,
 } from '@grpc/grpc-js';
-import {createGathered} from './gathered.js';
+import {createChangeCoalescer} from './change-coalescer.js';
 import {
   HEARTBEAT_MS,
   LINK_SERVICE,
@@ -137,9 +137,9 @@
   });
   cfg.list.subscribe(tellAll);
   // A server that ends strikes all requests that it ran, by several routers.
-  const gathered = createGathered(cfg.clock, tellAll);
-  cfg.suspects.subscribe(() => gathered.later());
-  cfg.limits.subscribe(() => gathered.later());
+  const gathered = createChangeCoalescer(cfg.clock, tellAll);
+  cfg.suspects.subscribe(() => gathered.notifyLater());
+  cfg.limits.subscribe(() => gathered.notifyLater());
 
   const beat = (): void => {
     teller.beat(followers);
--- a/packages/gateway/src/membership.ts
+++ b/packages/gateway/src/membership.ts
@@ -110,7 +110,7 @@
   };
 
   const goesOn = (): boolean => !isLeaving;
-  repeat({clock, emit, name: 'members', ms: JOIN_MS, goesOn}, join);
+  repeat({clock, emit, name: 'members', pauseMs: JOIN_MS, goesOn}, join);
 
   return {
     chosen: () => names[0] ?? null,
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -1,6 +1,6 @@
 import {createServer, type Server} from 'node:http';
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
-import type {RequestOutcome} from './entry.js';
+import type {RequestOutcome} from './frontend.js';
 import type {ServePage} from './quarantine-page.js';
 
 /** What the process tells of itself when it is asked. */
@@ -29,14 +29,14 @@
 /** Metrics and the interface that serves them. */
 export interface Metrics {
   readonly server: Server;
-  count(outcome: RequestOutcome): void;
+  recordRequest(outcome: RequestOutcome): void;
 }
 
 /** Upper bounds in seconds: from a quick answer to the longest time limits. */
-const BUCKETS = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+const DURATION_BUCKETS = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 /** Routes beyond this many share a label: configurations may add hundreds. */
-const MAX_ROUTES = 40;
-const OTHER_ROUTE = 'other';
+const MAX_ROUTE_LABELS = 40;
+const OTHER_ROUTES_LABEL = 'other';
 
 /**
  * Makes the process's metrics. Labels are bounded: routes, statuses and the
@@ -60,11 +60,11 @@
     labelNames: ['route', 'status', 'outcome'],
     registers,
   });
-  const seconds = new Histogram({
+  const durations = new Histogram({
     name: 'banyandrum_request_seconds',
     help: 'Time from the request’s head to its answer',
     labelNames: ['route'],
-    buckets: BUCKETS,
+    buckets: DURATION_BUCKETS,
     registers,
   });
   const gauges: Readonly<Record<string, readonly [string, () => number]>> = {
@@ -112,7 +112,7 @@
   const labelOf = (route: string | null): string => {
     if (route === null) return 'none';
     if (routes.has(route)) return route;
-    if (routes.size >= MAX_ROUTES) return OTHER_ROUTE;
+    if (routes.size >= MAX_ROUTE_LABELS) return OTHER_ROUTES_LABEL;
     routes.add(route);
     return route;
   };
@@ -124,10 +124,10 @@
         res.end(text);
       });
     }),
-    count({route, status, outcome, tookMs}) {
+    recordRequest({route, status, outcome, tookMs}) {
       const label = labelOf(route);
       requests.inc({route: label, status, outcome});
-      seconds.observe({route: label}, tookMs / 1000);
+      durations.observe({route: label}, tookMs / 1000);
     },
   };
 }
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -20,7 +20,7 @@
   | {readonly kind: 'failed'; readonly detail: string};
 
 /** A change of the list of backend servers. */
-export type ListChange =
+export type ServerListChange =
   | {readonly kind: 'listed'; readonly server: ServerInfo}
   | {readonly kind: 'removed'; readonly id: string}
   /** An entry that is not understood. */
@@ -31,7 +31,7 @@
     };
 
 /** What a read of the list of backend servers yields. */
-export type ListRead =
+export type ServerListRead =
   | {
       readonly kind: 'read';
       /** Whether `changes` are the whole list instead. */
@@ -41,7 +41,7 @@
        * registered since the copy have yet to do it again.
        */
       readonly isRestored?: boolean;
-      readonly changes: readonly ListChange[];
+      readonly changes: readonly ServerListChange[];
       readonly cursor: number;
     }
   | {readonly kind: 'failed'; readonly detail: string};
@@ -83,7 +83,7 @@
   /** The newest epoch that is known; 0 before the first. */
   epoch(): number;
   /** Monotonic time at which that epoch was first seen, in ms. */
-  seenAt(): number;
+  epochSeenAt(): number;
   /** `before` is null at the first epoch that this process sees. */
   subscribe(listener: (epoch: number, before: number | null) => void): void;
 }
@@ -93,15 +93,15 @@
   readonly names: WireNames;
   /** Waits up to `waitMs` for something newer than `cursor`; null: whole. */
   readConfig(cursor: number | null, waitMs: number): Promise<ConfigRead>;
-  readServers(cursor: number | null): Promise<ListRead>;
+  readServers(cursor: number | null): Promise<ServerListRead>;
   /** `self` is this router's name, which is how the others find it. */
   members(self: string): Members;
   readonly history: StoreHistory;
-  readonly ledger: Ledger;
+  readonly tableStore: Ledger;
   readonly suspects: SuspectRecords;
-  readonly orders: Orders;
+  readonly leaseClient: Orders;
   /** Calls `listener` with the outcome of each order that was sent. */
-  subscribeOrderOutcomes(listener: (outcome: AttemptOutcome) => void): void;
+  subscribeLeaseCallOutcomes(listener: (outcome: AttemptOutcome) => void): void;
   /** Calls to the platform since the start, by what they were for. */
   callCounts(): Readonly<Record<string, number>>;
   close(): void;
--- a/packages/gateway/src/read-body.ts
+++ b/packages/gateway/src/read-body.ts
@@ -22,10 +22,10 @@
   maxBytes: number,
 ): Promise<BodyRead> {
   const {headers} = req;
-  const told = headers['content-length'];
-  const hasBody = told !== undefined || 'transfer-encoding' in headers;
+  const contentLength = headers['content-length'];
+  const hasBody = contentLength !== undefined || 'transfer-encoding' in headers;
   if (!hasBody) return Promise.resolve({kind: 'read', bytes: null});
-  if (Number(told) > maxBytes) return Promise.resolve({kind: 'too-large'});
+  if (Number(contentLength) > maxBytes) return Promise.resolve({kind: 'too-large'});
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
     let size = 0;
--- a/packages/gateway/src/keep-up.ts
+++ b/packages/gateway/src/refresh-loops.ts
@@ -10,7 +10,7 @@
 import type {ServerList} from './server-list.js';
 
 /** What keeping up with the platform needs of the router. */
-export interface KeepUpConfig {
+export interface RefreshConfig {
   readonly platform: Platform;
   readonly clock: Clock;
   readonly emit: Emit;
@@ -22,34 +22,34 @@
   readonly leaveWithinMs: number;
   goesOn(): boolean;
   keyedServices(): readonly string[];
-  shareConnections(): void;
+  updateConnectionLimits(): void;
   /** Takes what the leader itself counted and measured. */
-  takeOwn(): void;
+  collectOwnMeasurements(): void;
 }
 
 /** The list of servers is read this often by whoever leads, in ms. */
-const LIST_MS = 400;
+const SERVER_LIST_READ_MS = 400;
 /**
  * Without the leader each router reads it, in this share of the time by which a
  * server that leaves must get no more: 80 routers that read as often as a
  * leader made 200 calls a second, longer outages alike.
  */
-const ALONE_SHARE = 0.3;
+const NO_LEADER_READ_SHARE = 0.3;
 /** A list that the leader confirmed within this time is new enough, in ms. */
-const LIST_FRESH_MS = 900;
+const LEADER_STATE_FRESH_MS = 900;
 /** Tables are read from the store after this time without the leader, ms. */
-const TABLES_FRESH_MS = 1_500;
-const TABLES_MS = 1_000;
+const TABLES_READ_AFTER_MS = 1_500;
+const TABLES_READ_MS = 1_000;
 /** The leader's own requests are counted this often, in ms. */
-const OWN_MS = 100;
+const OWN_MEASUREMENTS_MS = 100;
 /** Whether this router leads by now is looked at this often, in ms. */
-const OWN_IDLE_MS = 500;
+const LEADING_CHECK_MS = 500;
 /** Routers' shares of the servers' connections follow their number, in ms. */
-const SHARES_MS = 1_000;
+const CONNECTION_LIMITS_MS = 1_000;
 
 /** Whether the leader's word is newer than what the store would tell. */
-export function isFollowing(link: LinkClient): boolean {
-  return link.ageMs() < LIST_FRESH_MS;
+export function hasFreshLeaderState(link: LinkClient): boolean {
+  return link.ageMs() < LEADER_STATE_FRESH_MS;
 }
 
 /**
@@ -61,44 +61,44 @@
  * keepUp(cfg);
  * ```
  */
-export function keepUp(cfg: KeepUpConfig): void {
+export function startRefreshLoops(cfg: RefreshConfig): void {
   const {platform, leadership, list, link} = cfg;
-  const aloneMs = cfg.leaveWithinMs * ALONE_SHARE;
-  let readAt = -Infinity;
-  repeat({...cfg, name: 'servers', ms: LIST_MS}, async () => {
+  const noLeaderReadMs = cfg.leaveWithinMs * NO_LEADER_READ_SHARE;
+  let lastReadAt = -Infinity;
+  repeat({...cfg, name: 'servers', pauseMs: SERVER_LIST_READ_MS}, async () => {
     const ageMs = list.ageMs();
-    const isAlone = !leadership.isLeading();
-    if (isAlone && isFollowing(link) && ageMs < LIST_FRESH_MS) return;
+    const isNotLeading = !leadership.isLeading();
+    if (isNotLeading && hasFreshLeaderState(link) && ageMs < LEADER_STATE_FRESH_MS) return;
     const now = cfg.clock.now();
     const isKnown = list.cursor() !== null;
-    if (isAlone && isKnown && now - readAt < aloneMs) return;
-    readAt = now;
+    if (isNotLeading && isKnown && now - lastReadAt < noLeaderReadMs) return;
+    lastReadAt = now;
     list.take(await platform.readServers(list.cursor()));
   });
-  repeat({...cfg, name: 'tables', ms: TABLES_MS}, () => readTables(cfg));
-  repeat({...cfg, name: 'shares', ms: SHARES_MS}, async () =>
-    cfg.shareConnections(),
+  repeat({...cfg, name: 'tables', pauseMs: TABLES_READ_MS}, () => readStoredTables(cfg));
+  repeat({...cfg, name: 'shares', pauseMs: CONNECTION_LIMITS_MS}, async () =>
+    cfg.updateConnectionLimits(),
   );
-  repeat({...cfg, name: 'own-counts', ms: OWN_MS}, async () => {
-    if (leadership.isLeading()) return cfg.takeOwn();
-    await sleep(cfg.clock, OWN_IDLE_MS);
+  repeat({...cfg, name: 'own-counts', pauseMs: OWN_MEASUREMENTS_MS}, async () => {
+    if (leadership.isLeading()) return cfg.collectOwnMeasurements();
+    await sleep(cfg.clock, LEADING_CHECK_MS);
   });
 }
 
 /** What was recorded before the store was restored may hold no longer. */
-function toServed(holding: Holding, storeEpoch: number): ServedRange {
+function toServedRange(holding: Holding, storeEpoch: number): ServedRange {
   const {from, to, server, fence} = holding;
   const isCurrent = storeEpochOfFence(fence) === storeEpoch;
   return {from, to, server: isCurrent ? server : null};
 }
 
 /** Takes the tables from the store where no leader is heard for long. */
-async function readTables(cfg: KeepUpConfig): Promise<void> {
+async function readStoredTables(cfg: RefreshConfig): Promise<void> {
   const {platform, leadership, link, owners, emit} = cfg;
   const isNeeded = (): boolean =>
-    !leadership.isLeading() && link.ageMs() >= TABLES_FRESH_MS;
+    !leadership.isLeading() && link.ageMs() >= TABLES_READ_AFTER_MS;
   if (!isNeeded() || cfg.keyedServices().length === 0) return;
-  const stored = await platform.ledger.load();
+  const stored = await platform.tableStore.load();
   if (stored === null || !isNeeded()) return;
   emit('tables-taken', {from: 'store', linkAgeMs: Math.round(link.ageMs())});
   const storeEpoch = platform.history.epoch();
@@ -106,7 +106,7 @@
     new Map(
       stored.map(({service, holdings}) => [
         service,
-        holdings.map(holding => toServed(holding, storeEpoch)),
+        holdings.map(holding => toServedRange(holding, storeEpoch)),
       ]),
     ),
   );
--- a/packages/gateway/src/repeat.ts
+++ b/packages/gateway/src/repeat.ts
@@ -2,7 +2,7 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
 
 /** Pause after a defect, so that one that repeats can't take all time, in ms. */
-const DEFECT_PAUSE_MS = 200;
+const ERROR_PAUSE_MS = 200;
 
 /**
  * Does `task` again and again, with a pause of `ms`, while `goesOn`. It begins
@@ -17,7 +17,7 @@
  * ```
  */
 export function repeat(
-  {clock, emit, name, ms, goesOn}: RepeatConfig,
+  {clock, emit, name, pauseMs: ms, goesOn}: RepeatConfig,
   task: () => Promise<void>,
 ): void {
   const run = async (): Promise<void> => {
@@ -28,7 +28,7 @@
       } catch (err) {
         const {stack, message} = err as Error;
         emit('internal-error', {loop: name, detail: stack ?? message});
-        await sleep(clock, DEFECT_PAUSE_MS);
+        await sleep(clock, ERROR_PAUSE_MS);
       }
       if (ms > 0) await sleep(clock, ms);
     }
@@ -42,6 +42,6 @@
   readonly emit: Emit;
   /** Names the loop in the log. */
   readonly name: string;
-  readonly ms: number;
+  readonly pauseMs: number;
   goesOn(): boolean;
 }
--- a/packages/gateway/src/turns.ts
+++ b/packages/gateway/src/request-pipelines.ts
@@ -1,34 +1,34 @@
 import type {Duplex} from 'node:stream';
 
 /** A request's turn on its caller's connection. */
-export interface Turn {
+export interface PipelinedRequest {
   /**
    * Whether the answer that is written next may end the connection: no later
    * request on it was taken in.
    */
   isNewest(): boolean;
   /** The answer that is written now ends the connection. */
-  close(): void;
+  markLast(): void;
   /** The answer was written whole. */
-  end(): void;
+  finish(): void;
 }
 
 /** Requests that came on one connection. */
 interface Connection {
-  taken: number;
+  accepted: number;
   /** Requests behind an answer that ends the connection count as unread. */
-  isClosing: boolean;
-  readonly gone: Set<() => void>;
+  hasLastResponse: boolean;
+  readonly closeListeners: Set<() => void>;
 }
 
 /** The order of requests on callers' connections. */
-export interface Turns {
+export interface RequestPipelines {
   /**
    * Takes in the next request of a connection; null where an answer that ends
    * the connection was written before: it must not be passed on. `onGone` is
    * called once the connection is closed.
    */
-  take(socket: Duplex, onGone: () => void): Turn | null;
+  accept(socket: Duplex, onGone: () => void): PipelinedRequest | null;
 }
 
 /**
@@ -43,37 +43,37 @@
  * if (turn === null) return;
  * ```
  */
-export function createTurns(): Turns {
+export function createRequestPipelines(): RequestPipelines {
   const connections = new WeakMap<Duplex, Connection>();
 
   const connectionOf = (socket: Duplex): Connection => {
     const known = connections.get(socket);
     if (known !== undefined) return known;
     const connection: Connection = {
-      taken: 0,
-      isClosing: false,
-      gone: new Set(),
+      accepted: 0,
+      hasLastResponse: false,
+      closeListeners: new Set(),
     };
     connections.set(socket, connection);
     socket.once('close', () => {
-      for (const onGone of connection.gone) onGone();
-      connection.gone.clear();
+      for (const onGone of connection.closeListeners) onGone();
+      connection.closeListeners.clear();
     });
     return connection;
   };
 
   return {
-    take(socket, onGone) {
+    accept(socket, onGone) {
       const connection = connectionOf(socket);
-      if (connection.isClosing) return null;
-      const number = ++connection.taken;
-      connection.gone.add(onGone);
+      if (connection.hasLastResponse) return null;
+      const number = ++connection.accepted;
+      connection.closeListeners.add(onGone);
       return {
-        isNewest: () => connection.taken === number,
-        close() {
-          connection.isClosing = true;
+        isNewest: () => connection.accepted === number,
+        markLast() {
+          connection.hasLastResponse = true;
         },
-        end: () => void connection.gone.delete(onGone),
+        finish: () => void connection.closeListeners.delete(onGone),
       };
     },
   };
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -20,9 +20,9 @@
 import {createTiming} from '@banyandrum/ranges/timing.js';
 import {createSplitter} from '@banyandrum/routing/split.js';
 import {keepConfig} from './config-keeper.js';
-import {createEntry} from './entry.js';
+import {createFrontend} from './frontend.js';
 import type {EventLog} from './event-log.js';
-import {isFollowing, keepUp} from './keep-up.js';
+import {hasFreshLeaderState, startRefreshLoops} from './refresh-loops.js';
 import {createKeyOwners, type ServedTables} from './key-owners.js';
 import {createLeadership} from './leadership.js';
 import {ledServers} from './led-servers.js';
@@ -32,19 +32,19 @@
 import {listenAt} from './listen.js';
 import {createLocalPlaces} from './local-places.js';
 import {followRouters} from './membership.js';
-import {watchLag} from './loop-lag.js';
+import {monitorLoopLag} from './loop-lag.js';
 import {createMetrics, type MetricsSource} from './metrics.js';
 import type {Platform} from './platform.js';
 import {createQuarantinePage} from './quarantine-page.js';
 import {createRouterCount} from './router-count.js';
 import {createServerList} from './server-list.js';
-import {createServiceTimes, drainTimes} from './service-times.js';
+import {createServiceTimes, drainServiceTimes} from './service-times.js';
 import type {Settings} from './settings.js';
 import {shareSuspects} from './share-suspects.js';
 import {stopRouter} from './stop-router.js';
 import {createSuccession} from './succession.js';
-import {watchVitals} from './vitals.js';
-import {wakefulTime} from './wakeful-clock.js';
+import {reportVitals} from './vitals.js';
+import {createSuspendAwareTime} from './suspend-aware-clock.js';
 
 /** A router process at work. */
 export interface RouterProcess {
@@ -63,9 +63,9 @@
  * little more than the second in which servers of the deployments known report
  * themselves, and a read of their list.
  */
-const SETTLE_MS = 1_500;
+const SERVER_LIST_SETTLE_MS = 1_500;
 /** What a leader that leaves tells of its touch with the platform, in ms. */
-const LEAVING_TOUCH_MS = 1e6;
+const STOPPING_CONTACT_AGE_MS = 1e6;
 
 /**
  * Runs a router: callers' interface, readiness, the exchange with the other
@@ -87,189 +87,189 @@
   const boot = createId();
   const self = `${settings.host.name}@${settings.listen.peers}#${boot}`;
   let isStopping = false;
-  let isOver = false;
-  const goesOn = (): boolean => !isOver;
+  let isClosed = false;
+  const goesOn = (): boolean => !isClosed;
 
   const backends = createBackends(clock);
-  const list = createServerList(clock, emit, settings.servers.leaveWithinMs);
-  const owners = createKeyOwners(clock, emit);
-  const times = createServiceTimes();
-  list.subscribe(() => backends.update(list.snapshot()!.servers));
+  const serverList = createServerList(clock, emit, settings.servers.leaveWithinMs);
+  const keyOwners = createKeyOwners(clock, emit);
+  const serviceTimes = createServiceTimes();
+  serverList.subscribe(() => backends.update(serverList.snapshot()!.servers));
   const suspects = createSuspects(clock, emit);
-  const limits = createServerLimits({clock, emit});
-  const rests = createServerRests({clock, emit});
-  const ends = createServerEnds({clock, probe: probeServer});
-  list.subscribe(() => {
-    ends.watched().filter(list.isReplaced).forEach(ends.noteReplaced);
+  const serverLimits = createServerLimits({clock, emit});
+  const serverRests = createServerRests({clock, emit});
+  const serverEnds = createServerEnds({clock, probe: probeServer});
+  serverList.subscribe(() => {
+    serverEnds.watched().filter(serverList.isReplaced).forEach(serverEnds.noteReplaced);
   });
 
   const keyedServices = (): readonly string[] =>
-    [...(keeper.current()?.services.values() ?? [])]
+    [...(configKeeper.current()?.services.values() ?? [])]
       .filter(({isKeyed}) => isKeyed)
       .map(({name}) => name);
-  const hasEnded = (server: string): boolean =>
-    owners.isReplaced(server) || list.isReplaced(server);
+  const hasCrashed = (server: string): boolean =>
+    keyOwners.isReplaced(server) || serverList.isReplaced(server);
 
   let restoredAt = -Infinity;
   platform.history.subscribe((storeEpoch, before) => {
     if (before !== null) restoredAt = clock.now();
     emit('store-epoch', {storeEpoch, before});
   });
-  const led = {backends, times, clock, limits, hasEnded};
-  const wakefulNow = wakefulTime(clock, Date.now);
+  const ledServersConfig = {backends, times: serviceTimes, clock, limits: serverLimits, hasEnded: hasCrashed};
+  const suspendAwareNow = createSuspendAwareTime(clock, Date.now);
   const leadership = createLeadership({
     platform,
     clock,
-    wakefulNow,
+    wakefulNow: suspendAwareNow,
     emit,
     boot,
     address: settings.listen.peers,
     keyedServices,
     timing: createTiming(settings.servers.holdMaxMs),
-    serversOf: service => ledServers(led, service),
-    hasEnded,
-    isListSettled: () => list.settledMs() >= SETTLE_MS,
-    waitingKeys: service => issuer.waitingKeys(service),
+    serversOf: service => ledServers(ledServersConfig, service),
+    hasEnded: hasCrashed,
+    isListSettled: () => serverList.settledMs() >= SERVER_LIST_SETTLE_MS,
+    waitingKeys: service => slotAllocator.waitingKeys(service),
     isFirstStart: settings.platform.isFirstStart,
   });
-  const routers = followRouters({
+  const routerGroup = followRouters({
     members: platform.members(self),
     clock,
-    wakefulNow,
+    wakefulNow: suspendAwareNow,
     emit,
-    onJoined: () => void succession.consider(),
+    onJoined: () => void election.consider(),
     onReplaced: () => leadership.check(),
-    isSpared: () => !leadership.isLeading() && link.sparesSelf(),
-    hearsLeader: () => leadership.isLeading() || link.leader() !== null,
+    isSpared: () => !leadership.isLeading() && linkClient.sparesSelf(),
+    hearsLeader: () => leadership.isLeading() || linkClient.leader() !== null,
   });
   const routerCount = createRouterCount(clock);
   const countRouters = (): number => {
-    routerCount.note(routers.count());
+    routerCount.note(routerGroup.count());
     return routerCount.current();
   };
-  const shareConnections = (): void => {
-    const services = keeper.current()?.services;
+  const updateConnectionLimits = (): void => {
+    const services = configKeeper.current()?.services;
     if (services === undefined) return;
     limitConnections(backends, services, countRouters());
   };
   const chosenAddress = (): string | null => {
-    const name = routers.chosen();
-    return name === null || name === self ? null : addressOf(name);
+    const name = routerGroup.chosen();
+    return name === null || name === self ? null : addressOfRouter(name);
   };
-  const takeOffer = async (): Promise<boolean> =>
+  const acceptLeadershipOffer = async (): Promise<boolean> =>
     !isStopping && (await leadership.begin());
-  const link = followLeader({
+  const linkClient = followLeader({
     clock,
     emit,
-    owners,
-    list,
+    owners: keyOwners,
+    list: serverList,
     suspects,
-    limits,
+    limits: serverLimits,
     chosen: chosenAddress,
     isLeading: () => leadership.isLeading(),
     self: {address: settings.listen.peers, ...settings.host},
-    onOffered: () => void takeOffer(),
-    onLost: () => void succession.consider(),
+    onOffered: () => void acceptLeadershipOffer(),
+    onLost: () => void election.consider(),
     epoch: () => leadership.epoch(),
-    noteConfigCursor: cursor => keeper.noteCursor(cursor),
-    takeConfig: (config, cursor) => keeper.takeRelayed(config, cursor),
-    configCursor: () => keeper.cursor(),
+    noteConfigCursor: cursor => configKeeper.noteCursor(cursor),
+    takeConfig: (config, cursor) => configKeeper.takeRelayed(config, cursor),
+    configCursor: () => configKeeper.cursor(),
     noteRouters: routerCount.note,
   });
-  const succession = createSuccession({
+  const election = createSuccession({
     emit,
     self: settings.listen.peers,
-    isChosen: () => routers.isChosen(),
+    isChosen: () => routerGroup.isChosen(),
     isLeading: () => leadership.isLeading(),
     restoredMs: () => clock.now() - restoredAt,
-    heardLeaderTouchMs: () => link.leaderTouchMs(),
-    lastLeader: () => platform.ledger.lastLeader(),
-    reach: link.reach,
-    deputies: () => link.deputies(),
+    heardLeaderTouchMs: () => linkClient.leaderTouchMs(),
+    lastLeader: () => platform.tableStore.lastLeader(),
+    reach: linkClient.reach,
+    deputies: () => linkClient.deputies(),
     room: settings.host.room,
-    offer: link.offer,
-    begin: takeOffer,
+    offer: linkClient.offer,
+    begin: acceptLeadershipOffer,
   });
-  const issuer = createPlaceIssuer({
+  const slotAllocator = createPlaceIssuer({
     backends,
     clock,
     emit,
-    ownerOf: (service, key) => owners.ownerOf(service, key),
+    ownerOf: (service, key) => keyOwners.ownerOf(service, key),
     suspects,
-    limits,
+    limits: serverLimits,
   });
-  const noteLeaving = (server: string): void => {
-    if (!list.noteLeaving(server) || leadership.isLeading()) return;
-    link.tellLeaving(server);
+  const reportLeaving = (server: string): void => {
+    if (!serverList.noteLeaving(server) || leadership.isLeading()) return;
+    linkClient.tellLeaving(server);
   };
-  platform.subscribeOrderOutcomes(outcome => {
-    noteLimit(limits, platform.names, outcome);
-    noteRetryAfter(rests, platform.names, outcome);
-    if (reportsLeaving(platform.names, outcome)) noteLeaving(outcome.server);
+  platform.subscribeLeaseCallOutcomes(outcome => {
+    noteLimit(serverLimits, platform.names, outcome);
+    noteRetryAfter(serverRests, platform.names, outcome);
+    if (reportsLeaving(platform.names, outcome)) reportLeaving(outcome.server);
   });
-  limits.subscribe((row, isOwn) => {
-    if (isOwn && !leadership.isLeading()) link.tellLimits([row]);
+  serverLimits.subscribe((row, isOwn) => {
+    if (isOwn && !leadership.isLeading()) linkClient.tellLimits([row]);
   });
-  const keeper = keepConfig(
+  const configKeeper = keepConfig(
     platform,
     clock,
     emit,
-    () => isFollowing(link),
-    () => !leadership.isLeading() && link.relaysConfig(),
+    () => hasFreshLeaderState(linkClient),
+    () => !leadership.isLeading() && linkClient.relaysConfig(),
   );
-  keeper.subscribe(() => {
-    const config = keeper.current()!;
-    entry.applyLimits(config);
-    shareConnections();
+  configKeeper.subscribe(() => {
+    const config = configKeeper.current()!;
+    frontend.applyLimits(config);
+    updateConnectionLimits();
   });
 
-  const isInformed = shareSuspects({
-    ...{platform, clock, emit, leadership, suspects, link, goesOn},
+  const isQuarantineKnown = shareSuspects({
+    ...{platform, clock, emit, leadership, suspects, link: linkClient, goesOn},
     unixNow: Date.now,
   });
-  const lag = watchLag(clock);
-  const source: MetricsSource = {
+  const loopLag = monitorLoopLag(clock);
+  const metricsSource: MetricsSource = {
     routers: countRouters,
     isLeading: () => leadership.isLeading(),
-    waiting: () => issuer.waiting(),
-    listAgeMs: () => list.ageMs(),
-    leaderAgeMs: () => link.ageMs(),
-    configVersion: () => keeper.current()?.version ?? 0,
+    waiting: () => slotAllocator.waiting(),
+    listAgeMs: () => serverList.ageMs(),
+    leaderAgeMs: () => linkClient.ageMs(),
+    configVersion: () => configKeeper.current()?.version ?? 0,
     droppedLines: () => log.dropped(),
-    unheldRanges: () => countUnheld(leadership.tables()),
+    unheldRanges: () => countUnheldRanges(leadership.tables()),
     suspected: () => suspects.count('suspected'),
     quarantined: () => suspects.count('quarantined'),
-    limitedServers: () => limits.count(),
-    restingServers: () => rests.count(),
+    limitedServers: () => serverLimits.count(),
+    restingServers: () => serverRests.count(),
     storeEpoch: () => platform.history.epoch(),
   };
-  const page = createQuarantinePage(suspects, settings.operators.tokens);
-  const metrics = createMetrics(source, page);
-  const entry = createEntry({
+  const quarantinePage = createQuarantinePage(suspects, settings.operators.tokens);
+  const metrics = createMetrics(metricsSource, quarantinePage);
+  const frontend = createFrontend({
     clock,
     emit,
-    count: metrics.count,
+    recordRequest: metrics.recordRequest,
     splitter: createSplitter(),
-    config: () => keeper.current(),
-    isInformed: () => isInformed(),
-    lagMs: () => lag.ms(),
+    config: () => configKeeper.current(),
+    isQuarantineKnown: () => isQuarantineKnown(),
+    lagMs: () => loopLag.lagMs(),
     forward: {
       backends,
       owners: {
-        ...owners,
+        ...keyOwners,
         noteReplaced(server) {
-          owners.noteReplaced(server);
-          ends.noteReplaced(server);
-          link.noteReplaced(server);
+          keyOwners.noteReplaced(server);
+          serverEnds.noteReplaced(server);
+          linkClient.noteReplaced(server);
         },
       },
-      places: createLocalPlaces({leadership, issuer, owners, link}),
+      places: createLocalPlaces({leadership, issuer: slotAllocator, owners: keyOwners, link: linkClient}),
       dataCentre: settings.host.dataCentre,
       budget: createRetryBudget(settings.retries, countRouters),
-      quarantine: createQuarantine(suspects, ends),
-      limits,
-      rests,
-      noteLeaving,
+      quarantine: createQuarantine(suspects, serverEnds),
+      limits: serverLimits,
+      rests: serverRests,
+      noteLeaving: reportLeaving,
       names: platform.names,
       clock,
       emit,
@@ -278,57 +278,57 @@
   });
   const isReady = (): boolean =>
     !isStopping &&
-    keeper.current() !== null &&
-    list.cursor() !== null &&
-    isInformed();
+    configKeeper.current() !== null &&
+    serverList.cursor() !== null &&
+    isQuarantineKnown();
   const readiness = createServer((_, res) => {
     res.writeHead(isReady() ? 200 : 503, {'content-length': 0});
     res.end();
   });
   leadership.subscribe(() => {
     const tables = leadership.tables();
-    if (tables === null) return issuer.close();
-    owners.takeTables(tables);
-    issuer.review();
+    if (tables === null) return slotAllocator.close();
+    keyOwners.takeTables(tables);
+    slotAllocator.review();
   });
-  list.subscribe(() => issuer.review());
+  serverList.subscribe(() => slotAllocator.review());
 
   const {callers, readiness: readyAt, peers} = settings.listen;
-  const links = await serveLinks({
+  const linkServer = await serveLinks({
     listen: peers,
     clock,
     emit,
     room: settings.host.room,
-    onOffered: () => succession.answer(),
+    onOffered: () => election.answer(),
     leadership,
-    issuer,
-    list,
+    issuer: slotAllocator,
+    list: serverList,
     suspects,
-    limits,
-    configCursor: () => keeper.toldCursor(),
-    config: () => keeper.packed(),
-    configAgeMs: () => keeper.ageMs(),
-    leader: () => link.leader(),
+    limits: serverLimits,
+    configCursor: () => configKeeper.toldCursor(),
+    config: () => configKeeper.packed(),
+    configAgeMs: () => configKeeper.ageMs(),
+    leader: () => linkClient.leader(),
     // One that leaves is to be followed by whoever is chosen now.
     touchMs: () =>
       isStopping
-        ? LEAVING_TOUCH_MS
-        : Math.min(routers.touchMs(), leadership.touchMs()),
-    noteReplaced: server => owners.noteReplaced(server),
-    noteLeaving,
-    noteRequest: (service, key) => owners.noteRequest(service, key),
+        ? STOPPING_CONTACT_AGE_MS
+        : Math.min(routerGroup.touchMs(), leadership.touchMs()),
+    noteReplaced: server => keyOwners.noteReplaced(server),
+    noteLeaving: reportLeaving,
+    noteRequest: (service, key) => keyOwners.noteRequest(service, key),
   });
   const addresses = {
-    callers: await listenAt(entry.server, callers),
+    callers: await listenAt(frontend.server, callers),
     readiness: await listenAt(readiness, readyAt),
     metrics: await listenAt(metrics.server, settings.listen.metrics),
   };
-  const stopVitals = watchVitals(clock, emit, {
-    lagMs: () => lag.ms(),
-    inFlight: () => entry.inFlight(),
+  const stopVitals = reportVitals(clock, emit, {
+    lagMs: () => loopLag.lagMs(),
+    inFlight: () => frontend.inFlight(),
     isLeading: () => leadership.isLeading(),
-    followers: () => links.followers(),
-    waiting: () => issuer.waiting(),
+    followers: () => linkServer.followers(),
+    waiting: () => slotAllocator.waiting(),
     callCounts: () => platform.callCounts(),
   });
   emit('started', {
@@ -338,27 +338,27 @@
     ...settings.host.room,
   });
 
-  keepUp({
-    ...{platform, clock, emit, leadership, list, owners, link},
+  startRefreshLoops({
+    ...{platform, clock, emit, leadership, list: serverList, owners: keyOwners, link: linkClient},
     leaveWithinMs: settings.servers.leaveWithinMs,
     goesOn,
     keyedServices,
-    shareConnections,
-    takeOwn() {
-      routerCount.note(links.followers() + 1);
-      leadership.takeCounts(owners.drainCounts());
-      times.add(drainTimes(backends, keeper.current()?.services.keys() ?? []));
+    updateConnectionLimits: updateConnectionLimits,
+    collectOwnMeasurements() {
+      routerCount.note(linkServer.followers() + 1);
+      leadership.takeCounts(keyOwners.drainCounts());
+      serviceTimes.add(drainServiceTimes(backends, configKeeper.current()?.services.keys() ?? []));
     },
   });
 
-  const closeAll = (): void => {
-    isOver = true;
-    lag.stop();
+  const shutDown = (): void => {
+    isClosed = true;
+    loopLag.stop();
     stopVitals();
     leadership.resign();
-    keeper.stop();
-    link.stop();
-    links.close();
+    configKeeper.stop();
+    linkClient.stop();
+    linkServer.close();
     readiness.close();
     metrics.server.close();
   };
@@ -369,7 +369,7 @@
       if (isStopping) return;
       isStopping = true;
       await stopRouter({
-        ...{clock, emit, entry, routers, leadership, goesOn, closeAll},
+        ...{clock, emit, frontend: frontend, routers: routerGroup, leadership, goesOn, closeAll: shutDown},
         graceMs: settings.stop.graceMs,
       });
       await log.flush(100);
@@ -378,11 +378,11 @@
 }
 
 /** The address in a router's name, `host@ip:port#boot`. */
-function addressOf(name: string): string {
+function addressOfRouter(name: string): string {
   return name.slice(name.indexOf('@') + 1, name.lastIndexOf('#'));
 }
 
-function countUnheld(tables: ServedTables | null): number {
+function countUnheldRanges(tables: ServedTables | null): number {
   let count = 0;
   for (const ranges of tables?.values() ?? []) {
     count += ranges.filter(({server}) => server === null).length;
--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -2,7 +2,7 @@
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
 import {bornOfRun, nameOfRun} from '@banyandrum/dispatch/server-run.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {ListChange, ListRead} from './platform.js';
+import type {ServerListChange, ServerListRead} from './platform.js';
 
 /** The list of backend servers at one point of its history. */
 export interface ListSnapshot {
@@ -13,7 +13,7 @@
 /** The newest list of backend servers that this router knows. */
 export interface ServerList {
   /** Takes a read of the platform's own list. */
-  take(read: ListRead): void;
+  take(read: ServerListRead): void;
   /** Takes another router's list, where it is newer. */
   takeSnapshot(snapshot: ListSnapshot, ageMs: number): void;
   snapshot(): ListSnapshot | null;
@@ -172,7 +172,7 @@
     return false;
   };
 
-  const apply = (change: ListChange): boolean => {
+  const apply = (change: ServerListChange): boolean => {
     if (change.kind === 'listed') return put(change.server);
     if (change.kind === 'removed') {
       return expire(runs.get(nameOfRun(change.id)) ?? change.id);
@@ -181,7 +181,7 @@
   };
 
   const applyWhole = (
-    changes: readonly ListChange[],
+    changes: readonly ServerListChange[],
     isRestored: boolean,
   ): boolean => {
     const listed = new Set<string>();
@@ -286,7 +286,7 @@
   return (bornOfRun(id) ?? 0) < (bornOfRun(other) ?? 0);
 }
 
-function toListed(server: ServerInfo): ListChange {
+function toListed(server: ServerInfo): ServerListChange {
   return {kind: 'listed', server};
 }
 
--- a/packages/gateway/src/service-times.ts
+++ b/packages/gateway/src/service-times.ts
@@ -1,46 +1,46 @@
 import type {Backends} from '@banyandrum/dispatch/backends.js';
 
 /** Server id, number of requests, and their service times added up, in ms. */
-export type ServerTimes = readonly [string, number, number];
+export type ServerTimeTotals = readonly [string, number, number];
 
 /** Servers' times as all routers measured them. */
 export interface ServiceTimes {
-  add(times: readonly ServerTimes[]): void;
+  add(times: readonly ServerTimeTotals[]): void;
   /** Smoothed time for one request, in ms; the fallback where unknown. */
-  of(server: string, fallbackMs: number): number;
+  estimateMs(server: string, fallbackMs: number): number;
 }
 
 /** Requests that the smoothed time looks back on. */
-const MEMORY = 12;
+const MAX_WEIGHT = 12;
 
 /** Keeps a smoothed service time for each server. */
 export function createServiceTimes(): ServiceTimes {
-  const known = new Map<string, {weight: number; ms: number}>();
+  const estimates = new Map<string, {weight: number; ms: number}>();
   return {
     add(times) {
       for (const [server, count, totalMs] of times) {
-        const before = known.get(server) ?? {weight: 0, ms: 0};
-        const weight = Math.min(MEMORY, before.weight) + count;
+        const last = estimates.get(server) ?? {weight: 0, ms: 0};
+        const weight = Math.min(MAX_WEIGHT, last.weight) + count;
         const ms =
-          (before.ms * Math.min(MEMORY, before.weight) + totalMs) / weight;
-        known.set(server, {weight, ms});
+          (last.ms * Math.min(MAX_WEIGHT, last.weight) + totalMs) / weight;
+        estimates.set(server, {weight, ms});
       }
     },
-    of(server, fallbackMs) {
-      const time = known.get(server);
+    estimateMs(server, fallbackMs) {
+      const time = estimates.get(server);
       if (time === undefined) return fallbackMs;
-      const trust = time.weight / (time.weight + 3);
-      return time.ms * trust + fallbackMs * (1 - trust);
+      const confidence = time.weight / (time.weight + 3);
+      return time.ms * confidence + fallbackMs * (1 - confidence);
     },
   };
 }
 
 /** Takes what this router measured since the last call. */
-export function drainTimes(
+export function drainServiceTimes(
   backends: Backends,
   services: Iterable<string>,
-): readonly ServerTimes[] {
-  const times: ServerTimes[] = [];
+): readonly ServerTimeTotals[] {
+  const times: ServerTimeTotals[] = [];
   for (const service of services) {
     for (const backend of backends.ofService(service)) {
       const {count, totalMs} = backend.measured;
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -68,33 +68,33 @@
  */
 export function parseSettings(text: string): Settings {
   const root = parseToml(text);
-  const at = (section: string, key: string): unknown => {
+  const valueAt = (section: string, key: string): unknown => {
     const table = root[section];
     return isTable(table) ? table[key] : undefined;
   };
-  const textAt = (section: string, key: string, fallback?: string): string => {
-    const value = at(section, key) ?? fallback;
+  const stringAt = (section: string, key: string, fallback?: string): string => {
+    const value = valueAt(section, key) ?? fallback;
     if (typeof value === 'string' && value !== '') return value;
     throw new SettingsError(`${section}.${key}: a text is missing`);
   };
   const numberAt = (section: string, key: string, fallback: number): number => {
-    const value = at(section, key) ?? fallback;
+    const value = valueAt(section, key) ?? fallback;
     if (typeof value === 'number' && value >= 0) return value;
     throw new SettingsError(`${section}.${key}: no number of 0 or more`);
   };
-  const flagAt = (section: string, key: string): boolean => {
-    const value = at(section, key) ?? false;
+  const booleanAt = (section: string, key: string): boolean => {
+    const value = valueAt(section, key) ?? false;
     if (typeof value === 'boolean') return value;
     throw new SettingsError(`${section}.${key}: neither true nor false`);
   };
-  const timeAt = (section: string, key: string, fallback: string): number =>
-    parseTime(`${section}.${key}`, textAt(section, key, fallback));
+  const durationAt = (section: string, key: string, fallback: string): number =>
+    parseDuration(`${section}.${key}`, stringAt(section, key, fallback));
   const addressAt = (section: string, key: string): string =>
-    checkAddress(`${section}.${key}`, textAt(section, key));
+    checkAddress(`${section}.${key}`, stringAt(section, key));
   return {
     host: {
-      name: textAt('host', 'name'),
-      dataCentre: textAt('host', 'data_centre'),
+      name: stringAt('host', 'name'),
+      dataCentre: stringAt('host', 'data_centre'),
       room: {
         processors:
           numberAt('host', 'processor_share', 1) *
@@ -110,25 +110,25 @@
     },
     platform: {
       address: addressAt('platform', 'address'),
-      silenceMinMs: timeAt('platform', 'silence_min', '1s'),
-      isFirstStart: flagAt('platform', 'first_start'),
+      silenceMinMs: durationAt('platform', 'silence_min', '1s'),
+      isFirstStart: booleanAt('platform', 'first_start'),
     },
     servers: {
-      leaveWithinMs: timeAt('servers', 'leave_within', '2s'),
-      holdMaxMs: timeAt('servers', 'hold_max', '10s'),
+      leaveWithinMs: durationAt('servers', 'leave_within', '2s'),
+      holdMaxMs: durationAt('servers', 'hold_max', '10s'),
     },
-    stop: {graceMs: timeAt('stop', 'grace', '6s')},
+    stop: {graceMs: durationAt('stop', 'grace', '6s')},
     retries: {
       ratio: numberAt('retries', 'ratio', 0.2),
       slack: numberAt('retries', 'slack', 20),
     },
-    logging: {level: checkLevel(textAt('logging', 'level', 'info'))},
-    operators: {tokens: checkTokens(at('operators', 'tokens') ?? [])},
+    logging: {level: checkLevel(stringAt('logging', 'level', 'info'))},
+    operators: {tokens: checkTokens(valueAt('operators', 'tokens') ?? [])},
   };
 }
 
 /** Reads a time such as `1500ms` or `2.5s`; yields ms. */
-export function parseTime(key: string, text: string): number {
+export function parseDuration(key: string, text: string): number {
   const match = /^(\d+(?:\.\d+)?)(ms|s)$/.exec(text);
   if (match === null) throw new SettingsError(`${key}: ${text} is no time`);
   return Number(match[1]) * (match[2] === 's' ? 1000 : 1);
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -120,7 +120,7 @@
   const startedAt = clock.now();
   const isUnread = (): boolean => !isRead && !link.isTold();
   const goesOn = (): boolean => cfg.goesOn() && isUnread();
-  repeat({...cfg, name: 'suspects', ms: REREAD_MS, goesOn}, async () => {
+  repeat({...cfg, name: 'suspects', pauseMs: REREAD_MS, goesOn}, async () => {
     await read();
   });
   return () => !isUnread() || clock.now() - startedAt > UNKNOWN_MS;
--- a/packages/gateway/src/wakeful-clock.ts
+++ b/packages/gateway/src/suspend-aware-clock.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 
 /** A jump of the time of day that is less says nothing, in ms. */
-const JUMP_MS = 100;
+const MIN_SUSPENSION_MS = 100;
 
 /**
  * Time that also passes while the host is suspended, for beliefs that must not
@@ -17,17 +17,17 @@
  * const age = now() - confirmedAt;
  * ```
  */
-export function wakefulTime(clock: Clock, today: () => number): () => number {
-  let steadyAt = clock.now();
-  let todayAt = today();
+export function createSuspendAwareTime(clock: Clock, wallClock: () => number): () => number {
+  let lastMonotonic = clock.now();
+  let lastWall = wallClock();
   let suspendedMs = 0;
   return () => {
-    const steady = clock.now();
-    const day = today();
-    const missed = day - todayAt - (steady - steadyAt);
-    if (missed > JUMP_MS) suspendedMs += missed;
-    steadyAt = steady;
-    todayAt = day;
-    return steady + suspendedMs;
+    const monotonic = clock.now();
+    const wall = wallClock();
+    const gapMs = wall - lastWall - (monotonic - lastMonotonic);
+    if (gapMs > MIN_SUSPENSION_MS) suspendedMs += gapMs;
+    lastMonotonic = monotonic;
+    lastWall = wall;
+    return monotonic + suspendedMs;
   };
 }
--- a/packages/gateway/src/vitals.ts
+++ b/packages/gateway/src/vitals.ts
@@ -17,9 +17,9 @@
 }
 
 /** A line is written this often, in ms: 81 hosts write 40 lines a second. */
-const PERIOD_MS = 2_000;
+const REPORT_MS = 2_000;
 /** The lag is looked at this often, in ms. */
-const LOOK_MS = 500;
+const SAMPLE_MS = 500;
 
 /**
  * Writes a line about the process itself every two seconds. Without it nothing
@@ -31,46 +31,46 @@
  * const stop = watchVitals(clock, emit, source);
  * ```
  */
-export function watchVitals(
+export function reportVitals(
   clock: Clock,
   emit: Emit,
   source: VitalsSource,
 ): () => void {
-  let usedBefore = performance.eventLoopUtilization();
-  let callsBefore = source.callCounts();
-  let worstLagMs = 0;
-  let tellAt = clock.now() + PERIOD_MS;
+  let lastUtilization = performance.eventLoopUtilization();
+  let lastCalls = source.callCounts();
+  let maxLagMs = 0;
+  let reportAt = clock.now() + REPORT_MS;
 
-  const tell = (): void => {
-    const used = performance.eventLoopUtilization();
+  const report = (): void => {
+    const currentUtilization = performance.eventLoopUtilization();
     const calls = source.callCounts();
-    const {utilization} = performance.eventLoopUtilization(used, usedBefore);
+    const {utilization} = performance.eventLoopUtilization(currentUtilization, lastUtilization);
     emit('vitals', {
       busy: Math.round(utilization * 100) / 100,
-      lagMs: Math.round(worstLagMs),
+      lagMs: Math.round(maxLagMs),
       inFlight: source.inFlight(),
       isLeading: source.isLeading(),
       followers: source.followers(),
       waiting: source.waiting(),
-      calls: describeCalls(callsBefore, calls),
+      calls: formatNewCalls(lastCalls, calls),
     });
-    usedBefore = used;
-    callsBefore = calls;
-    worstLagMs = 0;
-    tellAt = clock.now() + PERIOD_MS;
+    lastUtilization = currentUtilization;
+    lastCalls = calls;
+    maxLagMs = 0;
+    reportAt = clock.now() + REPORT_MS;
   };
 
-  const look = (): void => {
-    worstLagMs = Math.max(worstLagMs, source.lagMs());
-    if (clock.now() >= tellAt) tell();
-    cancel = clock.after(LOOK_MS, look);
+  const sample = (): void => {
+    maxLagMs = Math.max(maxLagMs, source.lagMs());
+    if (clock.now() >= reportAt) report();
+    cancel = clock.after(SAMPLE_MS, sample);
   };
-  let cancel = clock.after(LOOK_MS, look);
+  let cancel = clock.after(SAMPLE_MS, sample);
   return () => cancel();
 }
 
 /** New calls as `config:2 join:6`, those without any left out. */
-function describeCalls(
+function formatNewCalls(
   before: Readonly<Record<string, number>>,
   now: Readonly<Record<string, number>>,
 ): string {
--- a/packages/gateway/src/write-answer.ts
+++ b/packages/gateway/src/write-response.ts
@@ -2,10 +2,10 @@
 import type {Failure} from '@banyandrum/base/failure.js';
 import {HOP_BY_HOP} from '@banyandrum/base/hop-by-hop.js';
 import type {Reply} from '@banyandrum/dispatch/journey.js';
-import {header} from './caller-headers.js';
+import {headerValue} from './caller-headers.js';
 
 /** What is written to the caller. */
-export type Answered =
+export type FrontendResponse =
   | Reply
   /** Refused by its form; it can't succeed when repeated. */
   | {
@@ -15,7 +15,7 @@
     };
 
 /** What writing an answer needs to know. */
-export interface AnswerConfig {
+export interface ResponseConfig {
   /** Name of the header field that repeats the request's id. */
   readonly requestId: string;
   /**
@@ -25,38 +25,38 @@
   readonly isLast: boolean;
 }
 
-const NO_BODY: ReadonlySet<number> = new Set([204, 304]);
+const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** Writes the answer to the caller. */
-export function send(
-  cfg: AnswerConfig,
+export function sendResponse(
+  cfg: ResponseConfig,
   req: IncomingMessage,
   res: ServerResponse,
-  answered: Answered,
+  response: FrontendResponse,
 ): void {
-  const write = SENDS[answered.kind] as Send<Answered['kind']>;
-  write(cfg, req, res, answered as never);
+  const write = WRITERS[response.kind] as ResponseWriter<FrontendResponse['kind']>;
+  write(cfg, req, res, response as never);
 }
 
 /** The status that tells a failure. */
-export function statusOf({verdict, code}: Failure): number {
+export function statusOfFailure({verdict, code}: Failure): number {
   if (verdict === 'not-run') return 503;
   return code === 'deadline' ? 504 : 502;
 }
 
-type Of<K extends Answered['kind']> = Extract<Answered, {kind: K}>;
+type ResponseOf<K extends FrontendResponse['kind']> = Extract<FrontendResponse, {kind: K}>;
 
-type Send<K extends Answered['kind']> = (
-  cfg: AnswerConfig,
+type ResponseWriter<K extends FrontendResponse['kind']> = (
+  cfg: ResponseConfig,
   req: IncomingMessage,
   res: ServerResponse,
-  answered: Of<K>,
+  answered: ResponseOf<K>,
 ) => void;
 
-const SENDS: {readonly [K in Answered['kind']]: Send<K>} = {
+const WRITERS: {readonly [K in FrontendResponse['kind']]: ResponseWriter<K>} = {
   answer(cfg, req, res, answered) {
     const {status, headers, body} = answered.answer;
-    const isBodiless = req.method === 'HEAD' || NO_BODY.has(status);
+    const isBodiless = req.method === 'HEAD' || BODILESS_STATUSES.has(status);
     const out: string[] = [];
     for (let at = 0; at + 1 < headers.length; at += 2) {
       const name = headers[at]!.toLowerCase();
@@ -78,12 +78,12 @@
     const {code, verdict, detail} = reason;
     const after = reason.retryAfterMs ?? null;
     const told = {code, verdict, detail};
-    sendProblem(cfg, req, res, statusOf(reason), told, after);
+    sendProblem(cfg, req, res, statusOfFailure(reason), told, after);
   },
 };
 
 function sendProblem(
-  cfg: AnswerConfig,
+  cfg: ResponseConfig,
   req: IncomingMessage,
   res: ServerResponse,
   status: number,
@@ -91,14 +91,14 @@
   retryAfterMs: number | null,
 ): void {
   const body = JSON.stringify({status, ...problem});
-  const out = ['Content-Type', 'application/problem+json'];
-  const id = header(req, cfg.requestId);
-  if (id !== undefined) out.push(cfg.requestId, id);
+  const headers = ['Content-Type', 'application/problem+json'];
+  const id = headerValue(req, cfg.requestId);
+  if (id !== undefined) headers.push(cfg.requestId, id);
   if (retryAfterMs !== null) {
-    out.push('Retry-After', (retryAfterMs / 1000).toFixed(3));
+    headers.push('Retry-After', (retryAfterMs / 1000).toFixed(3));
   }
-  out.push('Content-Length', String(Buffer.byteLength(body)));
-  if (cfg.isLast) out.push('Connection', 'close');
-  res.writeHead(status, out);
+  headers.push('Content-Length', String(Buffer.byteLength(body)));
+  if (cfg.isLast) headers.push('Connection', 'close');
+  res.writeHead(status, headers);
   res.end(body);
 }
--- a/packages/gateway/test/fake-history.ts
+++ b/packages/gateway/test/fake-history.ts
@@ -12,7 +12,7 @@
   let seenAt = -Infinity;
   return {
     epoch: () => epoch,
-    seenAt: () => seenAt,
+    epochSeenAt: () => seenAt,
     subscribe: listener => void listeners.add(listener),
     restore() {
       epoch++;
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import {createLeadership} from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import {wakefulTime} from '@banyandrum/gateway/wakeful-clock.js';
+import {createSuspendAwareTime} from '@banyandrum/gateway/suspend-aware-clock.js';
 import type {Ledger} from '@banyandrum/ranges/ledger.js';
 import type {Orders} from '@banyandrum/ranges/orders.js';
 import {createTiming} from '@banyandrum/ranges/timing.js';
@@ -34,7 +34,7 @@
     },
     release: async () => ({kind: 'done', handover: null}),
   };
-  const wakefulNow = wakefulTime(clock, () => today);
+  const wakefulNow = createSuspendAwareTime(clock, () => today);
   const history = createFakeHistory(() => clock.now());
   const leadership = createLeadership({
     platform: {ledger: LEDGER, orders, history} as unknown as Platform,
@@ -90,7 +90,7 @@
 void tap.test('jumps of the time of day make nothing younger', async t => {
   const clock = createManualClock(1_000);
   let today = 50_000;
-  const now = wakefulTime(clock, () => today);
+  const now = createSuspendAwareTime(clock, () => today);
   const began = now();
   today -= 2_000;
   await clock.advance(500);
--- a/packages/gateway/test/loop-lag.test.ts
+++ b/packages/gateway/test/loop-lag.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {watchLag} from '@banyandrum/gateway/loop-lag.js';
+import {monitorLoopLag} from '@banyandrum/gateway/loop-lag.js';
 
 /** A clock whose timers run only when the test says so. */
 function createLateClock(): {
@@ -31,17 +31,17 @@
 // process that is late again and again has no time for it.
 void tap.test('a pause is no lack of processor time', async t => {
   const clock = createLateClock();
-  const lag = watchLag(clock);
+  const lag = monitorLoopLag(clock);
   clock.run(25);
-  t.equal(lag.ms(), 0);
+  t.equal(lag.lagMs(), 0);
   clock.run(325);
   clock.run(25);
-  t.equal(lag.ms(), 0, 'over');
+  t.equal(lag.lagMs(), 0, 'over');
   for (let turn = 0; turn < 3; turn++) clock.run(145);
-  t.equal(lag.ms(), 120, 'late each time');
+  t.equal(lag.lagMs(), 120, 'late each time');
   clock.run(25);
-  t.equal(lag.ms(), 0);
+  t.equal(lag.lagMs(), 0);
   clock.pass(425);
-  t.equal(lag.ms(), 400, 'late now');
+  t.equal(lag.lagMs(), 400, 'late now');
   lag.stop();
 });
--- a/packages/gateway/test/repeat.test.ts
+++ b/packages/gateway/test/repeat.test.ts
@@ -13,7 +13,7 @@
   let isOver = false;
   repeat(
     {
-      ...{clock, name: 'looks', ms: 50},
+      ...{clock, name: 'looks', pauseMs: 50},
       emit: event => void defects.push(event),
       goesOn: () => !isOver,
     },
--- a/packages/gateway/test/restorable-store.ts
+++ b/packages/gateway/test/restorable-store.ts
@@ -82,7 +82,7 @@
       isCut: false,
       history: {
         epoch: () => known ?? 0,
-        seenAt: () => seenAt,
+        epochSeenAt: () => seenAt,
         subscribe: listener => void listeners.add(listener),
       },
       ledger: {
--- a/packages/gateway/test/server-list.test.ts
+++ b/packages/gateway/test/server-list.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
-import type {ListChange, ListRead} from '@banyandrum/gateway/platform.js';
+import type {ServerListChange, ServerListRead} from '@banyandrum/gateway/platform.js';
 import {
   createServerList,
   type ServerList,
@@ -23,19 +23,19 @@
   };
 }
 
-function listed(each: ServerInfo): ListChange {
+function listed(each: ServerInfo): ServerListChange {
   return {kind: 'listed', server: each};
 }
 
 function read(
   cursor: number,
-  changes: readonly ListChange[],
+  changes: readonly ServerListChange[],
   isWhole = false,
-): ListRead {
+): ServerListRead {
   return {kind: 'read', isWhole, changes, cursor};
 }
 
-const FAILED: ListRead = {kind: 'failed', detail: 'down'};
+const FAILED: ServerListRead = {kind: 'failed', detail: 'down'};
 
 function scene(): {clock: ManualClock; list: ServerList} {
   const clock = createManualClock(10_000);
--- a/packages/gateway/test/settings.test.ts
+++ b/packages/gateway/test/settings.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {parseSettings, parseTime} from '@banyandrum/gateway/settings.js';
+import {parseSettings, parseDuration} from '@banyandrum/gateway/settings.js';
 
 const GOOD = `
 [host]
@@ -48,7 +48,7 @@
 }
 
 void tap.test('times have a unit', async t => {
-  t.equal(parseTime('x', '1500ms'), 1_500);
-  t.equal(parseTime('x', '2.5s'), 2_500);
-  t.throws(() => parseTime('x', '5'));
+  t.equal(parseDuration('x', '1500ms'), 1_500);
+  t.equal(parseDuration('x', '2.5s'), 2_500);
+  t.throws(() => parseDuration('x', '5'));
 });
--- a/packages/gateway/test/vitals.test.ts
+++ b/packages/gateway/test/vitals.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import type {EventFields} from '@banyandrum/dispatch/events.js';
-import {watchVitals} from '@banyandrum/gateway/vitals.js';
+import {reportVitals} from '@banyandrum/gateway/vitals.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
 // An operator looks for why callers were refused for two seconds: the line of
@@ -11,7 +11,7 @@
   const lines: EventFields[] = [];
   let lagMs = 0;
   let calls: Record<string, number> = {join: 5};
-  const stop = watchVitals(clock, (_, fields) => void lines.push(fields), {
+  const stop = reportVitals(clock, (_, fields) => void lines.push(fields), {
     lagMs: () => lagMs,
     inFlight: () => 3,
     isLeading: () => true,
