--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -158,7 +158,7 @@
   /** A term that the store lost records nothing: its successor would. */
   const ledgerOf = (own: Term): Pick<Ledger, 'save'> => ({
     save: async table =>
-      isRestored(own) ? 'failed' : platform.tableStore.save(table),
+      isRestored(own) ? 'failed' : platform.ledger.save(table),
   });
 
   const leadNew = (own: Term): void => {
@@ -171,7 +171,7 @@
         isUnrecordedFree,
         wakefulNow: cfg.wakefulNow,
         ledger: ledgerOf(own),
-        orders: platform.leaseClient,
+        orders: platform.orders,
         clock,
         timing: cfg.timing,
         servers: () => cfg.serversOf(service),
@@ -231,8 +231,8 @@
   const start = async (before: Term | null): Promise<void> => {
     isStarting = true;
     const askedAt = cfg.wakefulNow();
-    const epoch = await platform.tableStore.begin(cfg.address);
-    const stored = epoch === null ? null : await platform.tableStore.load();
+    const epoch = await platform.ledger.begin(cfg.address);
+    const stored = epoch === null ? null : await platform.ledger.load();
     if (
       epoch === null ||
       stored === null ||
@@ -272,7 +272,7 @@
 
   const check = async (own: Term): Promise<void> => {
     const askedAt = cfg.wakefulNow();
-    const isNewest = await platform.tableStore.isNewest();
+    const isNewest = await platform.ledger.isNewest();
     if (term !== own) return;
     if (isRestored(own)) return void goOn(own);
     if (isNewest === true) confirmedAt = Math.max(confirmedAt, askedAt);
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -97,9 +97,9 @@
   /** `self` is this router's name, which is how the others find it. */
   members(self: string): Members;
   readonly history: StoreHistory;
-  readonly tableStore: Ledger;
+  readonly ledger: Ledger;
   readonly suspects: SuspectRecords;
-  readonly leaseClient: Orders;
+  readonly orders: Orders;
   /** Calls `listener` with the outcome of each order that was sent. */
   subscribeLeaseCallOutcomes(listener: (outcome: AttemptOutcome) => void): void;
   /** Calls to the platform since the start, by what they were for. */
--- a/packages/gateway/src/refresh-loops.ts
+++ b/packages/gateway/src/refresh-loops.ts
@@ -98,7 +98,7 @@
   const isNeeded = (): boolean =>
     !leadership.isLeading() && link.ageMs() >= TABLES_READ_AFTER_MS;
   if (!isNeeded() || cfg.keyedServices().length === 0) return;
-  const stored = await platform.tableStore.load();
+  const stored = await platform.ledger.load();
   if (stored === null || !isNeeded()) return;
   emit('tables-taken', {from: 'store', linkAgeMs: Math.round(link.ageMs())});
   const storeEpoch = platform.history.epoch();
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -183,7 +183,7 @@
     isLeading: () => leadership.isLeading(),
     restoredMs: () => clock.now() - restoredAt,
     heardLeaderTouchMs: () => linkClient.leaderTouchMs(),
-    lastLeader: () => platform.tableStore.lastLeader(),
+    lastLeader: () => platform.ledger.lastLeader(),
     reach: linkClient.reach,
     deputies: () => linkClient.deputies(),
     room: settings.host.room,
