--- a/packages/gateway/src/frontend.ts
+++ b/packages/gateway/src/frontend.ts
@@ -19,7 +19,7 @@
 import type {Route, RoutingConfig} from '@banyandrum/routing/config.js';
 import {matchRoute} from '@banyandrum/routing/match-route.js';
 import type {Splitter} from '@banyandrum/routing/split.js';
-import {createRetryAges, type RetryAges} from './retry-ages.js';
+import {createRetryAges, type RetryAges} from './caller-ages.js';
 import {
   callerTimeoutMs,
   forwardedHeaders,
@@ -33,7 +33,7 @@
 import {
   createRequestPipelines,
   type RequestPipelines,
-} from './request-pipelines.js';
+} from './turns.js';
 import {
   sendResponse,
   statusOfFailure,
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -18,7 +18,7 @@
 import type {LedServer} from '@banyandrum/ranges/lead-state.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
 import {AUTHORITY_MS, type HoldTiming} from '@banyandrum/ranges/timing.js';
-import {createChangeCoalescer} from './change-coalescer.js';
+import {createChangeCoalescer} from './gathered.js';
 import type {KeyCounts, ServedTables} from './key-owners.js';
 import type {Platform} from './platform.js';
 
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -9,7 +9,7 @@
   type sendUnaryData,
   type ServerDuplexStream,
 } from '@grpc/grpc-js';
-import {createChangeCoalescer} from './change-coalescer.js';
+import {createChangeCoalescer} from './gathered.js';
 import {
   HEARTBEAT_MS,
   LINK_SERVICE,
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -44,7 +44,7 @@
 import {stopRouter} from './stop-router.js';
 import {createSuccession} from './succession.js';
 import {reportVitals} from './vitals.js';
-import {createSuspendAwareTime} from './suspend-aware-clock.js';
+import {createSuspendAwareTime} from './wakeful-clock.js';
 
 /** A running router process. */
 export interface RouterProcess {
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import {createLeadership} from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import {createSuspendAwareTime} from '@banyandrum/gateway/suspend-aware-clock.js';
+import {createSuspendAwareTime} from '@banyandrum/gateway/wakeful-clock.js';
 import type {Ledger} from '@banyandrum/ranges/ledger.js';
 import type {Orders} from '@banyandrum/ranges/orders.js';
 import {createTiming} from '@banyandrum/ranges/timing.js';
