--- a/packages/gateway/src/frontend.ts
+++ b/packages/gateway/src/frontend.ts
@@ -30,10 +30,7 @@
   type StrippedHeaders,
 } from './caller-headers.js';
 import {readBody} from './read-body.js';
-import {
-  createRequestPipelines,
-  type RequestPipelines,
-} from './turns.js';
+import {createRequestPipelines, type RequestPipelines} from './turns.js';
 import {
   sendResponse,
   statusOfFailure,
@@ -251,7 +248,7 @@
     return notRun('no configuration loaded yet', STARTING_RETRY_MS);
   }
   if (!state.isQuarantineKnown()) {
-    return notRun('quarantine list not loaded yet', STARTING_RETRY_MS);
+    return notRun('quarantined requests not loaded yet', STARTING_RETRY_MS);
   }
   if (state.lagMs() > MAX_LOOP_LAG_MS) {
     return notRun('event loop lag is too high', BUSY_RETRY_MS);
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -79,7 +79,7 @@
   ): string => {
     const value = valueAt(section, key) ?? fallback;
     if (typeof value === 'string' && value !== '') return value;
-    throw new SettingsError(`${section}.${key}: must be a non-empty string`);
+    throw new SettingsError(`${section}.${key}: must be a non-empty text`);
   };
   const numberAt = (section: string, key: string, fallback: number): number => {
     const value = valueAt(section, key) ?? fallback;
@@ -135,7 +135,7 @@
 export function parseDuration(key: string, text: string): number {
   const match = /^(\d+(?:\.\d+)?)(ms|s)$/.exec(text);
   if (match === null)
-    throw new SettingsError(`${key}: ${text} is not a duration`);
+    throw new SettingsError(`${key}: ${text} is not a valid time`);
   return Number(match[1]) * (match[2] === 's' ? 1000 : 1);
 }
 
@@ -153,14 +153,16 @@
 
 function checkAddress(key: string, text: string): string {
   if (/^\d+\.\d+\.\d+\.\d+:\d+$/.test(text)) return text;
-  throw new SettingsError(`${key}: ${text} is not an IPv4 address and port`);
+  throw new SettingsError(
+    `${key}: ${text} is not an address by IP number and port`,
+  );
 }
 
 function checkLevel(text: string): LogLevel {
   const level = LOG_LEVELS.find(each => each === text);
   if (level !== undefined) return level;
   throw new SettingsError(
-    `logging.level: must be one of ${LOG_LEVELS.join(', ')}`,
+    `logging.level: matches none of ${LOG_LEVELS.join(', ')}`,
   );
 }
 
@@ -168,19 +170,19 @@
 
 function checkTokens(tokens: unknown): readonly OperatorToken[] {
   if (!Array.isArray(tokens)) {
-    throw new SettingsError('operators.tokens: must be a list of tables');
+    throw new SettingsError('operators.tokens: must be a list of tokens');
   }
   return tokens.map((token: unknown, at) => {
     const name = `operators.tokens[${at}]`;
     if (!isTable(token)) throw new SettingsError(`${name}: must be a table`);
     const {operator, role, sha256} = token;
     if (typeof operator !== 'string' || operator === '') {
-      throw new SettingsError(`${name}.operator: must be a non-empty string`);
+      throw new SettingsError(`${name}.operator: must be a non-empty text`);
     }
     const known = ROLES.find(each => each === role);
     if (known === undefined) {
       throw new SettingsError(
-        `${name}.role: must be one of ${ROLES.join(', ')}`,
+        `${name}.role: matches none of ${ROLES.join(', ')}`,
       );
     }
     if (typeof sha256 !== 'string' || !/^[0-9a-f]{64}$/i.test(sha256)) {
--- a/packages/gateway/test/caller-ages.test.ts
+++ b/packages/gateway/test/caller-ages.test.ts
@@ -5,7 +5,7 @@
 // Callers that are refused in a burst retry with the rest of their timeout. A
 // router that treats the retries as first attempts lets them wait as long as
 // those, and responds when the callers have no use for it.
-void tap.test('a retry is recognized by its shorter timeout', async t => {
+void tap.test('a retry is recognized by its lower time limit', async t => {
   const ages = createRetryAges();
   let total = 0;
   for (let asked = 0; asked < 20; asked++) {
@@ -14,12 +14,16 @@
   t.equal(total, 0, 'first attempts');
   t.equal(ages.observe('holds', 1_780), 220);
   t.equal(ages.observe('holds', 2_000), 0, 'still a first attempt');
-  t.equal(ages.observe('reports', 1_780), 0, 'a route without observations');
+  t.equal(
+    ages.observe('reports', 1_780),
+    0,
+    'nothing is known of another route',
+  );
 });
 
 // Some callers have to connect first, which takes part of their timeout. All of
 // these requests are first attempts.
-void tap.test('timeouts within a few ms count as equal', async t => {
+void tap.test('time limits that differ by a few ms count as equal', async t => {
   const ages = createRetryAges();
   const random = createRandom(3);
   let wrong = 0;
@@ -47,7 +51,7 @@
 
 // Two kinds of clients use a route. Requests of the kind with the much shorter
 // timeout are not retries.
-void tap.test('a much shorter timeout is not a retry', async t => {
+void tap.test('a much lower time limit is not a retry', async t => {
   const ages = createRetryAges();
   let wrong = 0;
   for (let asked = 0; asked < 40; asked++) {
@@ -57,7 +61,7 @@
   t.equal(ages.observe('holds', 1_700), 300);
 });
 
-void tap.test('with random timeouts hardly any request is a retry', async t => {
+void tap.test('random time limits tell nothing', async t => {
   const ages = createRetryAges();
   const random = createRandom(5);
   let wrong = 0;
@@ -68,7 +72,7 @@
 });
 
 // The clients of a route are configured with another timeout.
-void tap.test('a new initial timeout is learned', async t => {
+void tap.test('a new initial time limit is learned', async t => {
   const ages = createRetryAges();
   for (let asked = 0; asked < 1_000; asked++) ages.observe('holds', 3_000);
   let wrong = 0;
--- a/packages/gateway/test/event-log.test.ts
+++ b/packages/gateway/test/event-log.test.ts
@@ -3,7 +3,7 @@
 import {join} from 'node:path';
 import {createEventLog} from '@banyandrum/gateway/event-log.js';
 
-void tap.test('events are written as complete JSON lines', async t => {
+void tap.test('events are written out as whole JSON lines', async t => {
   const path = join(t.testdir({}), 'log');
   const fd = openSync(path, 'w');
   const log = createEventLog(fd, 'entry-1');
--- a/packages/gateway/test/loop-lag.test.ts
+++ b/packages/gateway/test/loop-lag.test.ts
@@ -31,7 +31,7 @@
 // A single pause, such as a garbage collection, is over when the next request is
 // read, so that request can be served. Repeated lag means that the process is
 // short of processor time, and requests should be refused.
-void tap.test('a single pause does not count as lag', async t => {
+void tap.test('a single pause is no lack of processor time', async t => {
   const clock = createLateClock();
   const monitor = monitorLoopLag(clock);
   clock.advanceAndFire(25);
@@ -40,7 +40,7 @@
   clock.advanceAndFire(25);
   t.equal(monitor.lagMs(), 0, 'after a single pause');
   for (let turn = 0; turn < 3; turn++) clock.advanceAndFire(145);
-  t.equal(monitor.lagMs(), 120, 'after repeated lag');
+  t.equal(monitor.lagMs(), 120, 'after lag each time');
   clock.advanceAndFire(25);
   t.equal(monitor.lagMs(), 0);
   clock.advance(425);
--- a/packages/gateway/test/repeat.test.ts
+++ b/packages/gateway/test/repeat.test.ts
@@ -24,7 +24,7 @@
   );
   const step = 1;
   await clock.advance(0);
-  t.equal(runs, 1, 'the first run is not delayed');
+  t.equal(runs, 1, 'the first run is not put off');
   await clock.advance(120);
   t.equal(runs, 3);
   t.same(errors, []);
--- a/packages/gateway/test/settings.test.ts
+++ b/packages/gateway/test/settings.test.ts
@@ -35,7 +35,7 @@
   ['[host]', '[host', /./],
 ];
 
-void tap.test('settings are parsed', async t => {
+void tap.test('settings are read', async t => {
   const settings = parseSettings(VALID);
   t.equal(settings.stop.graceMs, 6_000);
   t.equal(settings.listen.peers, '10.0.0.1:82');
@@ -43,7 +43,7 @@
 });
 
 for (const [valid, invalid, message] of INVALID) {
-  void tap.test(`rejected: ${invalid || 'no name'}`, async t => {
+  void tap.test(`refused: ${invalid || 'no name'}`, async t => {
     t.throws(() => parseSettings(VALID.replace(valid, invalid)), {message});
   });
 }
