--- a/packages/base/src/access.ts
+++ b/packages/base/src/access.ts
@@ -43,7 +43,7 @@
 ): Authenticate {
   const known = tokens.map(token => ({
     operator: {name: token.operator, role: token.role},
-    digest: readDigest(token),
+    digest: parseDigest(token),
   }));
   return header => {
     const presented = BEARER.exec(header ?? '')?.[1];
@@ -58,7 +58,7 @@
 }
 
 /** Whether the operator may do what needs `role`. */
-export function mayActAs(operator: Operator, role: Role): boolean {
+export function hasRole(operator: Operator, role: Role): boolean {
   return RANK[operator.role] >= RANK[role];
 }
 
@@ -74,7 +74,7 @@
   return sha256(token).toString('hex');
 }
 
-function readDigest({operator, sha256}: OperatorToken): Buffer {
+function parseDigest({operator, sha256}: OperatorToken): Buffer {
   if (DIGEST.test(sha256)) return Buffer.from(sha256, 'hex');
   throw new Error(`token of ${operator}: sha256 must be 64 hex digits`);
 }
--- a/packages/base/src/cancel.ts
+++ b/packages/base/src/cancel.ts
@@ -44,14 +44,14 @@
     if (signal.aborted) return;
     signal.aborted = true;
     for (const listener of [...listeners]) {
-      if (listeners.includes(listener)) call(listener);
+      if (listeners.includes(listener)) callListener(listener);
     }
     listeners = [];
   };
   return {signal, abort};
 }
 
-function call(listener: () => void): void {
+function callListener(listener: () => void): void {
   try {
     listener();
   } catch (err) {
--- a/packages/base/src/ids.ts
+++ b/packages/base/src/ids.ts
@@ -29,7 +29,7 @@
 }
 
 const ID_BYTES = 8;
-const POOL_IDS = 512;
+const IDS_PER_POOL = 512;
 
 // One call for many ids: a call for each took some 6 % of the time of a
 // small request at the callers' interface.
@@ -39,7 +39,7 @@
 /** A random id of 64 bits, as 16 hexadecimal digits. */
 export function createId(): string {
   if (poolUsed === pool.length) {
-    pool = randomBytes(ID_BYTES * POOL_IDS);
+    pool = randomBytes(ID_BYTES * IDS_PER_POOL);
     poolUsed = 0;
   }
   poolUsed += ID_BYTES;
@@ -52,7 +52,7 @@
 }
 
 /** Whether both name the same run of a process. */
-export function sameIncarnation(
+export function isSameIncarnation(
   a: Incarnation | null,
   b: Incarnation | null,
 ): boolean {
--- a/packages/config/src/fold-views.ts
+++ b/packages/config/src/fold-views.ts
@@ -1,4 +1,4 @@
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {CellId, Offset} from '@banyandrum/base/ids.js';
 import type {Claim, ViewsRecord} from './records.js';
 import type {ClusterState, FormerPair, View} from './state.js';
@@ -42,9 +42,9 @@
 ): readonly FormerPair[] {
   if (current === null) return [];
   const {epoch, leader, standby, unsettled} = current;
-  if (sameIncarnation(claim.leader, leader)) {
+  if (isSameIncarnation(claim.leader, leader)) {
     return claim.settled ? [] : unsettled;
   }
-  if (sameIncarnation(claim.leader, standby)) return unsettled;
+  if (isSameIncarnation(claim.leader, standby)) return unsettled;
   return [...unsettled, {epoch, leader, standby}];
 }
--- a/packages/gateway/src/quarantine-page.ts
+++ b/packages/gateway/src/quarantine-page.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {
   createAuthenticate,
-  mayActAs,
+  hasRole,
   type OperatorToken,
   type Role,
 } from '@banyandrum/base/access.js';
@@ -60,7 +60,7 @@
   ): Promise<Answer> => {
     const operator = authenticate(req.headers.authorization);
     if (operator === null) return problem(401, 'a token is needed');
-    if (!mayActAs(operator, handler.role)) {
+    if (!hasRole(operator, handler.role)) {
       return problem(403, `a ${handler.role}'s token is needed`);
     }
     return handler.answer(operator.name, req);
--- a/packages/operators/src/routes.ts
+++ b/packages/operators/src/routes.ts
@@ -3,7 +3,7 @@
 import type {Logger} from '@banyandrum/base/logger.js';
 import type {Registry} from 'prom-client';
 import type {Authenticate} from '@banyandrum/base/access.js';
-import {mayActAs} from '@banyandrum/base/access.js';
+import {hasRole} from '@banyandrum/base/access.js';
 import type {Operator, OperatorActions, Role} from './actions.js';
 import type {Endpoint} from './endpoints.js';
 import {ENDPOINTS} from './endpoints.js';
@@ -100,7 +100,7 @@
       const detail = 'a bearer token is needed';
       return replyProblem({req, res}, {kind: 'unauthorised', detail});
     }
-    if (!mayActAs(operator, role)) {
+    if (!hasRole(operator, role)) {
       const detail = `${operator.name} is no ${role}`;
       return replyProblem({req, res}, {kind: 'forbidden', detail});
     }
--- a/packages/ownership/src/consent.ts
+++ b/packages/ownership/src/consent.ts
@@ -1,6 +1,6 @@
 import {sleep} from '@banyandrum/base/clock.js';
 import type {Incarnation} from '@banyandrum/base/ids.js';
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {OwnershipContext} from './context.js';
 import type {Leadership, Tenure} from './leadership.js';
 import type {Membership} from './membership.js';
@@ -82,7 +82,7 @@
     tenuresWith(options, standby).filter(tenure => silentFor(ctx, tenure) > ms);
   if (silent(timing.standbySilenceMs).length === 0) return;
   const res = await ctx.peers.probe(standby.address, timing.answerMs);
-  const isThere = res.ok && sameIncarnation(res.val, standby);
+  const isThere = res.ok && isSameIncarnation(res.val, standby);
   // It answers, but does not consent: it may not have read the view yet.
   const patience = isThere ? 2 * timing.authorityMs : timing.standbySilenceMs;
   doubt(silent(patience), isThere ? 'refuses consent' : 'silent');
@@ -104,5 +104,5 @@
 ): readonly Tenure[] {
   return leadership
     .tenures()
-    .filter(({holder}) => sameIncarnation(holder.view().standby, standby));
+    .filter(({holder}) => isSameIncarnation(holder.view().standby, standby));
 }
--- a/packages/ownership/src/leadership.ts
+++ b/packages/ownership/src/leadership.ts
@@ -1,5 +1,5 @@
 import type {CellId} from '@banyandrum/base/ids.js';
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {View} from '@banyandrum/config/state.js';
 import type {Authority, Inheritance} from './authority.js';
 import type {AuthorityHolder} from './authority-holder.js';
@@ -183,7 +183,7 @@
     const state = ctx.store.current();
     for (const [cell, term] of [...terms]) {
       const leader = state.views.get(cell)?.leader ?? null;
-      if (sameIncarnation(leader, ctx.self)) continue;
+      if (isSameIncarnation(leader, ctx.self)) continue;
       terms.delete(cell);
       void endTerm(term);
     }
--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -1,6 +1,6 @@
 import {sleep} from '@banyandrum/base/clock.js';
 import type {Incarnation} from '@banyandrum/base/ids.js';
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {ClaimPlan, Claimer} from './claims.js';
 import {isGone} from './clearance.js';
@@ -99,7 +99,7 @@
   // Without the log at hand no claim can follow, so don't end a consent.
   if (clock.now() - store.confirmedAt() >= timing.logPatienceMs) return [];
   return [...store.current().views.values()].filter(view => {
-    if (!sameIncarnation(view.leader, leader)) return false;
+    if (!isSameIncarnation(view.leader, leader)) return false;
     const rank = watchRank(ctx, ring, view);
     if (rank === null) return false;
     // The standby, if there is one, is to have its chance first.
@@ -194,8 +194,8 @@
   ring: Ring,
   view: View,
 ): number | null {
-  if (sameIncarnation(view.leader, self)) return null;
-  if (sameIncarnation(view.standby, self)) return null;
+  if (isSameIncarnation(view.leader, self)) return null;
+  if (isSameIncarnation(view.standby, self)) return null;
   const hasRole = ({host}: RouterHost): boolean =>
     host === view.leader.host || host === view.standby?.host;
   const isOther = (router: RouterHost): boolean => !hasRole(router);
--- a/packages/ownership/src/standby-watch.ts
+++ b/packages/ownership/src/standby-watch.ts
@@ -1,6 +1,6 @@
 import {sleep} from '@banyandrum/base/clock.js';
 import type {Incarnation} from '@banyandrum/base/ids.js';
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {OwnershipContext} from './context.js';
 import type {Backing, Standby} from './standby.js';
 import {isGone} from './clearance.js';
@@ -57,7 +57,7 @@
   if (isGone(ctx, leader)) return 'gone';
   const startedAt = ctx.clock.now();
   const res = await ctx.peers.probe(leader.address, ctx.timing.answerMs);
-  if (res.ok) return sameIncarnation(res.val, leader) ? 'there' : 'gone';
+  if (res.ok) return isSameIncarnation(res.val, leader) ? 'there' : 'gone';
   return ctx.pauses.awakeSince() > startedAt ? 'paused' : 'silent';
 }
 
@@ -76,7 +76,7 @@
 }
 
 function isConsentedTo(role: Backing, leader: Incarnation): boolean {
-  const isOf = sameIncarnation(role.view.leader, leader);
+  const isOf = isSameIncarnation(role.view.leader, leader);
   return isOf && role.withdrawnAt === null;
 }
 
--- a/packages/ownership/src/standby.ts
+++ b/packages/ownership/src/standby.ts
@@ -1,5 +1,5 @@
 import type {CellId, Incarnation, Offset} from '@banyandrum/base/ids.js';
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {OwnershipContext} from './context.js';
 import type {ConsentAnswer, ConsentAsk, TableMessage} from './control.js';
@@ -97,7 +97,7 @@
     if (epoch > known) options.onNewerEpoch(from);
     const role = roles.get(cell);
     if (role?.view.epoch !== epoch) return null;
-    return sameIncarnation(role.view.leader, from) ? role : null;
+    return isSameIncarnation(role.view.leader, from) ? role : null;
   };
 
   const consentTo = (
--- a/packages/ownership/src/views.ts
+++ b/packages/ownership/src/views.ts
@@ -1,5 +1,5 @@
 import type {CellId, Incarnation} from '@banyandrum/base/ids.js';
-import {sameIncarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 
 /** Whether the view is still the newest known of its cell. */
@@ -13,7 +13,7 @@
   leader: Incarnation,
 ): readonly View[] {
   return [...state.views.values()].filter(view =>
-    sameIncarnation(view.leader, leader),
+    isSameIncarnation(view.leader, leader),
   );
 }
 
@@ -23,7 +23,7 @@
   standby: Incarnation,
 ): readonly View[] {
   return [...state.views.values()].filter(view =>
-    sameIncarnation(view.standby, standby),
+    isSameIncarnation(view.standby, standby),
   );
 }
 
--- a/packages/requests/src/route.ts
+++ b/packages/requests/src/route.ts
@@ -3,7 +3,7 @@
   type Failure,
   type FailureCode,
 } from '@banyandrum/base/failure.js';
-import {sameIncarnation, type CellId} from '@banyandrum/base/ids.js';
+import {isSameIncarnation, type CellId} from '@banyandrum/base/ids.js';
 import type {ServiceRequest} from '@banyandrum/base/request.js';
 import {Err} from '@banyandrum/base/result.js';
 import type {View} from '@banyandrum/config/state.js';
@@ -72,7 +72,7 @@
   const attempt = (view: View, trip: Trip): Promise<Outcome> => {
     trip.attempts++;
     const {req} = trip.tracked;
-    const local = sameIncarnation(view.leader, options.self);
+    const local = isSameIncarnation(view.leader, options.self);
     if (local) {
       const queue = options.localLeader(trip.cell);
       return queue === null ? notYetLeading(trip) : queue.handle(req);
--- a/packages/routers/src/link.ts
+++ b/packages/routers/src/link.ts
@@ -1,7 +1,7 @@
 import type {ChannelCredentials} from '@grpc/grpc-js';
 import grpc from '@grpc/grpc-js';
 import type {Clock} from '@banyandrum/base/clock.js';
-import {sameIncarnation, type Incarnation} from '@banyandrum/base/ids.js';
+import {isSameIncarnation, type Incarnation} from '@banyandrum/base/ids.js';
 import type {Logger} from '@banyandrum/base/logger.js';
 import {Err, Ok, type Result} from '@banyandrum/base/result.js';
 import {createAskedControls, type AskedControls} from './asked-controls.js';
@@ -228,7 +228,7 @@
 }
 
 function isOther(expected: Incarnation | null, found: Incarnation): boolean {
-  return expected !== null && !sameIncarnation(expected, found);
+  return expected !== null && !isSameIncarnation(expected, found);
 }
 
 function describeOther(found: Incarnation): PeerError {
--- a/packages/routing/src/split.ts
+++ b/packages/routing/src/split.ts
@@ -18,14 +18,14 @@
  * ```
  */
 export function createSplitter(): Splitter {
-  const credits = new WeakMap<Route, number[]>();
+  const weightsByRoute = new WeakMap<Route, number[]>();
   return {
     next(route) {
       const [first] = route.targets;
       if (route.targets.length === 1) return first!.service;
-      const credit = credits.get(route) ?? startOf(route);
-      credits.set(route, credit);
-      return take(route, credit);
+      const currentWeights = weightsByRoute.get(route) ?? randomStart(route);
+      weightsByRoute.set(route, currentWeights);
+      return pickTarget(route, currentWeights);
     },
   };
 }
@@ -34,18 +34,18 @@
  * Starts at a random place of the cycle: routers that all began with the
  * first target would send it the first request of each.
  */
-function startOf(route: Route): number[] {
+function randomStart(route: Route): number[] {
   return route.targets.map(({weight}) => weight * Math.random());
 }
 
-function take(route: Route, credit: number[]): string {
+function pickTarget(route: Route, currentWeights: number[]): string {
   let total = 0;
   let best = 0;
   route.targets.forEach(({weight}, at) => {
     total += weight;
-    credit[at]! += weight;
-    if (credit[at]! > credit[best]!) best = at;
+    currentWeights[at]! += weight;
+    if (currentWeights[at]! > currentWeights[best]!) best = at;
   });
-  credit[best]! -= total;
+  currentWeights[best]! -= total;
   return route.targets[best]!.service;
 }
