--- a/packages/ownership/src/load-watch.ts
+++ b/packages/ownership/src/load-watch.ts
@@ -4,7 +4,7 @@
   type CapacityEstimate,
   createCapacityEstimate,
 } from '@banyandrum/placement/capacity.js';
-import {createSmoothLoads} from '@banyandrum/placement/smooth-loads.js';
+import {createSmoothedLoads} from '@banyandrum/placement/smooth-loads.js';
 import type {CellLoad, LoadSource, ServerObservation} from './led-cell.js';
 
 /** The load of one cell, by its leader's own observation, smoothed. */
@@ -35,7 +35,7 @@
   source: LoadSource,
   clock: Clock,
 ): LoadWatch {
-  const smooth = createSmoothLoads();
+  const smooth = createSmoothedLoads();
   const estimates = new Map<string, CapacityEstimate>();
   const capacities = new Map<string, number>();
   let servers = new Map<string, ServerObservation>();
@@ -49,7 +49,7 @@
     const {server, busy, shed} = sight;
     const estimate = estimates.get(server) ?? createCapacityEstimate();
     estimates.set(server, estimate);
-    capacities.set(server, estimate.note({slots, busy, shed}, periodMs));
+    capacities.set(server, estimate.update({slots, busy, shed}, periodMs));
   };
 
   return {
@@ -63,7 +63,7 @@
         shard,
         busy,
       ]);
-      smooth.note(new Map(byShard), periodMs);
+      smooth.update(new Map(byShard), periodMs);
       servers = new Map(load.servers.map(sight => [sight.server, sight]));
       for (const sight of load.servers) {
         const slots = slotsOf(sight.server);
--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -1,5 +1,5 @@
-import type {MayMove} from './calm.js';
-import type {Carrier, Carriers} from './carriers.js';
+import type {MoveFilter} from './calm.js';
+import type {ServerLoad, ServerLoads} from './carriers.js';
 import type {Move, PlacedShard, PlanInput, Weights} from './plan.js';
 
 /** Moves of one plan at most: the next plan sees what they came to. */
@@ -23,47 +23,47 @@
  * so does the time that they take to be worked off: the cost of its
  * unavailable time grows faster than its load.
  */
-const PILE_UP = 2;
+const QUEUEING_COST = 2;
 
 /**
  * How much more it is worth to take a shard off a server that is full. What
  * its requests keep busy can't grow beyond its slots, so that imbalance no
  * longer shows by how much more is asked of it, while it refuses requests.
  */
-const FULL_GAIN = 6;
+const FULL_SERVER_GAIN = 6;
 
 /** A server is full where its requests keep this share of it busy. */
-const FULL_SHARE = 0.85;
+const FULL_UTILIZATION = 0.85;
 
 /** A server has room to spare where no more than this is busy. */
-const SPARE_SHARE = 0.65;
+const SPARE_UTILIZATION = 0.65;
 
 /** A shard is hot where it alone takes this share of its server. */
-const HOT_SHARE = 0.25;
+const HOT_SHARD_SHARE = 0.25;
 
 /** Receivers looked at for each move: the emptiest ones. */
-const RECEIVERS = 3;
+const MAX_RECEIVERS = 3;
 
-interface Step {
+interface PlannedMove {
   readonly shard: PlacedShard;
-  readonly from: Carrier;
-  readonly to: Carrier;
+  readonly from: ServerLoad;
+  readonly to: ServerLoad;
   /** Imbalance that it takes away less what it costs; above 0. */
-  readonly net: number;
+  readonly netGain: number;
 }
 
 interface Plan {
-  readonly steps: readonly Step[];
-  readonly net: number;
+  readonly moves: readonly PlannedMove[];
+  readonly netGain: number;
 }
 
 /** What the greedy search works on; carriers' loads change as it goes. */
 interface Search {
   readonly weights: Weights;
-  readonly carriers: readonly Carrier[];
-  readonly weigh: (shard: PlacedShard) => number;
-  readonly move: Carriers['move'];
-  readonly mayMove: (from: Carrier, to: Carrier) => boolean;
+  readonly servers: readonly ServerLoad[];
+  readonly weightOf: (shard: PlacedShard) => number;
+  readonly move: ServerLoads['move'];
+  readonly isAllowed: (from: ServerLoad, to: ServerLoad) => boolean;
   readonly totalCapacity: number;
   readonly totalWeight: number;
   readonly totalLoad: number;
@@ -82,21 +82,21 @@
  */
 export function balance(
   input: PlanInput,
-  carriers: Carriers,
-  mayMove: MayMove = () => true,
+  servers: ServerLoads,
+  isAllowed: MoveFilter = () => true,
 ): readonly Move[] {
   const movable = input.shards.filter(shard =>
-    isMovable(shard, input, carriers),
+    isMovable(shard, input, servers),
   );
-  const search = createSearch(input, carriers, mayMove);
-  const any = searchGreedily(search, movable);
-  const neighbours = movable.filter(shard => !isHot(shard, carriers));
-  const cold =
-    neighbours.length < movable.length
-      ? searchGreedily(search, neighbours)
-      : any;
-  const best = cold.net > any.net ? cold : any;
-  return best.steps.map(step => toMove(step, search));
+  const search = createSearch(input, servers, isAllowed);
+  const withHotShards = searchGreedily(search, movable);
+  const coldShards = movable.filter(shard => !isHot(shard, servers));
+  const withoutHotShards =
+    coldShards.length < movable.length
+      ? searchGreedily(search, coldShards)
+      : withHotShards;
+  const best = withoutHotShards.netGain > withHotShards.netGain ? withoutHotShards : withHotShards;
+  return best.moves.map(step => toMove(step, search));
 }
 
 /**
@@ -108,155 +108,155 @@
  * imbalanceOf([...carriers.byName.values()]);
  * ```
  */
-export function imbalanceOf(carriers: readonly Carrier[]): number {
-  const capacity = sum(carriers, c => c.candidate.capacity);
-  const mean = sum(carriers, c => c.load) / capacity;
+export function imbalanceOf(servers: readonly ServerLoad[]): number {
+  const capacity = sum(servers, c => c.candidate.capacity);
+  const mean = sum(servers, c => c.weight) / capacity;
   if (!(mean > 0)) return 0;
-  return sum(carriers, c => {
+  return sum(servers, c => {
     const share = c.candidate.capacity / capacity;
-    return share * (utilisation(c) / mean - 1) ** 2;
+    return share * (utilization(c) / mean - 1) ** 2;
   });
 }
 
 function createSearch(
   input: PlanInput,
-  carriers: Carriers,
-  mayMove: MayMove,
+  servers: ServerLoads,
+  isAllowed: MoveFilter,
 ): Search {
-  const list = [...carriers.byName.values()].filter(
+  const list = [...servers.byName.values()].filter(
     ({candidate}) => candidate.readiness > 0 && candidate.capacity > 0,
   );
   const {imbalance, churn, unavailable} = input.weights;
-  const all = imbalance + churn + unavailable || 1;
+  const total = imbalance + churn + unavailable || 1;
   return {
     weights: {
-      imbalance: imbalance / all,
-      churn: churn / all,
-      unavailable: unavailable / all,
+      imbalance: imbalance / total,
+      churn: churn / total,
+      unavailable: unavailable / total,
     },
-    carriers: list,
-    weigh: carriers.weigh,
-    move: carriers.move,
-    mayMove: (from, to) => mayMove(from, to, carriers),
+    servers: list,
+    weightOf: servers.weightOf,
+    move: servers.move,
+    isAllowed: (from, to) => isAllowed(from, to, servers),
     totalCapacity: sum(list, c => c.candidate.capacity),
-    totalWeight: sum(list, c => c.load),
+    totalWeight: sum(list, c => c.weight),
     totalLoad: sum(input.shards, shard => shard.load),
     count: input.shards.length,
   };
 }
 
 function searchGreedily(search: Search, movable: readonly PlacedShard[]): Plan {
-  const left = new Set(movable);
-  const steps: Step[] = [];
-  while (steps.length < MAX_MOVES) {
-    const step = bestStep(search, left);
-    if (step === null) break;
-    search.move(step.shard, step.from, step.to);
-    left.delete(step.shard);
-    steps.push(step);
+  const candidates = new Set(movable);
+  const moves: PlannedMove[] = [];
+  while (moves.length < MAX_MOVES) {
+    const move = findBestMove(search, candidates);
+    if (move === null) break;
+    search.move(move.shard, move.from, move.to);
+    candidates.delete(move.shard);
+    moves.push(move);
   }
-  for (const {shard, from, to} of steps) search.move(shard, to, from);
-  return {steps, net: sum(steps, ({net}) => net)};
+  for (const {shard, from, to} of moves) search.move(shard, to, from);
+  return {moves: moves, netGain: sum(moves, ({netGain: net}) => net)};
 }
 
-function bestStep(
+function findBestMove(
   search: Search,
   shards: ReadonlySet<PlacedShard>,
-): Step | null {
-  const byName = new Map(search.carriers.map(c => [c.candidate.name, c]));
-  const receivers = [...search.carriers]
-    .sort((a, b) => utilisation(a) - utilisation(b) || compareNames(a, b))
-    .slice(0, RECEIVERS);
-  let best: Step | null = null;
+): PlannedMove | null {
+  const byName = new Map(search.servers.map(c => [c.candidate.name, c]));
+  const receivers = [...search.servers]
+    .sort((a, b) => utilization(a) - utilization(b) || compareNames(a, b))
+    .slice(0, MAX_RECEIVERS);
+  let best: PlannedMove | null = null;
   for (const shard of shards) {
     const from = shard.server === null ? undefined : byName.get(shard.server);
     if (from === undefined) continue;
     for (const to of receivers) {
       if (to === from || !hasRoom(search, shard, to)) continue;
-      if (!search.mayMove(from, to)) continue;
-      const net = netOf(search, shard, from, to);
-      if (net > (best?.net ?? 0)) best = {shard, from, to, net};
+      if (!search.isAllowed(from, to)) continue;
+      const netGain = netGainOf(search, shard, from, to);
+      if (netGain > (best?.netGain ?? 0)) best = {shard, from, to, netGain: netGain};
     }
   }
   return best;
 }
 
 /** A server that starts slowly is filled only as far as it is ready. */
-function hasRoom(search: Search, shard: PlacedShard, to: Carrier): boolean {
-  const {candidate, room, load} = to;
+function hasRoom(search: Search, shard: PlacedShard, to: ServerLoad): boolean {
+  const {candidate, usableCapacity: room, weight: load} = to;
   if (candidate.readiness >= 1) return true;
   const mean = search.totalWeight / search.totalCapacity;
-  return load + search.weigh(shard) <= room * mean;
+  return load + search.weightOf(shard) <= room * mean;
 }
 
-function netOf(
+function netGainOf(
   search: Search,
   shard: PlacedShard,
-  from: Carrier,
-  to: Carrier,
+  from: ServerLoad,
+  to: ServerLoad,
 ): number {
   const {weights} = search;
-  const gain = gainOf(search, search.weigh(shard), from, to);
-  const worth = isFull(from) && hasSpare(to) ? FULL_GAIN : 1;
-  return weights.imbalance * worth * gain - costOf(search, shard, from);
+  const gain = imbalanceReduction(search, search.weightOf(shard), from, to);
+  const factor = isFull(from) && hasSpareCapacity(to) ? FULL_SERVER_GAIN : 1;
+  return weights.imbalance * factor * gain - moveCost(search, shard, from);
 }
 
-function isFull({busy, candidate}: Carrier): boolean {
-  return busy >= candidate.capacity * FULL_SHARE;
+function isFull({busy, candidate}: ServerLoad): boolean {
+  return busy >= candidate.capacity * FULL_UTILIZATION;
 }
 
-function hasSpare({busy, candidate}: Carrier): boolean {
-  return busy <= candidate.capacity * SPARE_SHARE;
+function hasSpareCapacity({busy, candidate}: ServerLoad): boolean {
+  return busy <= candidate.capacity * SPARE_UTILIZATION;
 }
 
 /** By how much the move lessens `imbalanceOf`. */
-function gainOf(
+function imbalanceReduction(
   search: Search,
   weight: number,
-  from: Carrier,
-  to: Carrier,
+  from: ServerLoad,
+  to: ServerLoad,
 ): number {
   const {totalCapacity, totalWeight} = search;
   const mean = totalWeight / totalCapacity;
   if (!(mean > 0)) return 0;
-  const part = (carrier: Carrier, load: number): number => {
-    const {capacity} = carrier.candidate;
+  const part = (server: ServerLoad, load: number): number => {
+    const {capacity} = server.candidate;
     return (capacity / totalCapacity) * (load / capacity / mean - 1) ** 2;
   };
-  const before = part(from, from.load) + part(to, to.load);
-  const after = part(from, from.load - weight) + part(to, to.load + weight);
+  const before = part(from, from.weight) + part(to, to.weight);
+  const after = part(from, from.weight - weight) + part(to, to.weight + weight);
   return before - after;
 }
 
-function costOf(search: Search, shard: PlacedShard, from: Carrier): number {
+function moveCost(search: Search, shard: PlacedShard, from: ServerLoad): number {
   const {weights, count, totalLoad} = search;
   const churn = CHURN_COST / Math.max(1, count);
   const share = totalLoad > 0 ? shard.load / totalLoad : 0;
-  const pileUp = 1 + PILE_UP * (shard.load / from.candidate.capacity);
-  const unavailable = UNAVAILABLE_COST * share * pileUp;
+  const queueing = 1 + QUEUEING_COST * (shard.load / from.candidate.capacity);
+  const unavailable = UNAVAILABLE_COST * share * queueing;
   return weights.churn * churn + weights.unavailable * unavailable;
 }
 
 function isMovable(
   shard: PlacedShard,
   input: PlanInput,
-  carriers: Carriers,
+  servers: ServerLoads,
 ): boolean {
   if (shard.pinned || shard.server === null) return false;
-  if (!carriers.byName.has(shard.server)) return false;
+  if (!servers.byName.has(shard.server)) return false;
   return input.now - shard.movedAt >= MIN_STAY_MS;
 }
 
-function isHot(shard: PlacedShard, carriers: Carriers): boolean {
-  const carrier = carriers.byName.get(shard.server ?? '');
-  if (carrier === undefined) return false;
-  return shard.load >= carrier.candidate.capacity * HOT_SHARE;
+function isHot(shard: PlacedShard, servers: ServerLoads): boolean {
+  const server = servers.byName.get(shard.server ?? '');
+  if (server === undefined) return false;
+  return shard.load >= server.candidate.capacity * HOT_SHARD_SHARE;
 }
 
-function toMove({shard, from, to}: Step, search: Search): Move {
+function toMove({shard, from, to}: PlannedMove, search: Search): Move {
   const mean = search.totalWeight / search.totalCapacity;
-  const relative = (carrier: Carrier): string =>
-    (utilisation(carrier) / mean).toFixed(2);
+  const relative = (server: ServerLoad): string =>
+    (utilization(server) / mean).toFixed(2);
   return {
     shard: shard.shard,
     from: from.candidate.name,
@@ -267,11 +267,11 @@
   };
 }
 
-function utilisation(carrier: Carrier): number {
-  return carrier.load / carrier.candidate.capacity;
+function utilization(server: ServerLoad): number {
+  return server.weight / server.candidate.capacity;
 }
 
-function compareNames(a: Carrier, b: Carrier): number {
+function compareNames(a: ServerLoad, b: ServerLoad): number {
   return a.candidate.name < b.candidate.name ? -1 : 1;
 }
 
--- a/packages/placement/src/capacity.ts
+++ b/packages/placement/src/capacity.ts
@@ -1,5 +1,5 @@
 /** What a leader saw of a server over the last period. */
-export interface ServerSight {
+export interface ServerObservation {
   readonly slots: number;
   /** Slots kept busy on average. */
   readonly busy: number;
@@ -10,17 +10,17 @@
 /** How many slots a server proved able to keep busy. */
 export interface CapacityEstimate {
   /** Notes a period; yields the estimate, above 0 and at most `slots`. */
-  note(sight: ServerSight, periodMs: number): number;
+  update(sight: ServerObservation, periodMs: number): number;
 }
 
 /** Below the load at which it refused, so that it needn't refuse again. */
-const BACK_OFF = 0.9;
+const BACK_OFF_FACTOR = 0.9;
 
 /** Share of its slots that it gets back in a second without refusals. */
 const RECOVERY_PER_SECOND = 0.02;
 
 /** The least share of its slots that a server counts with. */
-const LEAST_SHARE = 0.1;
+const MIN_SHARE = 0.1;
 
 /**
  * Estimates a server's capacity from what it does, not from what it says: it
@@ -36,10 +36,10 @@
 export function createCapacityEstimate(): CapacityEstimate {
   let share = 1;
   return {
-    note({slots, busy, shed}, periodMs) {
+    update({slots, busy, shed}, periodMs) {
       if (shed > 0) {
-        const seen = (busy / slots) * BACK_OFF;
-        share = Math.max(LEAST_SHARE, Math.min(share, seen));
+        const observed = (busy / slots) * BACK_OFF_FACTOR;
+        share = Math.max(MIN_SHARE, Math.min(share, observed));
       } else {
         const seconds = periodMs / 1000;
         share = Math.min(1, share + RECOVERY_PER_SECOND * seconds);
--- a/packages/placement/src/carriers.ts
+++ b/packages/placement/src/carriers.ts
@@ -1,25 +1,25 @@
 import type {Candidate, PlacedShard, PlanInput} from './plan.js';
 
 /** What one server carries while a plan is being made. */
-export interface Carrier {
+export interface ServerLoad {
   readonly candidate: Candidate;
   /** Slots that it may be given: its capacity, as far as it is ready. */
-  readonly room: number;
+  readonly usableCapacity: number;
   /** Weight of its shards. */
-  load: number;
+  weight: number;
   /** Slots that its shards keep busy. */
   busy: number;
   /** How many shards it has. */
-  count: number;
+  shardCount: number;
 }
 
 /** All servers of a plan. */
-export interface Carriers {
-  readonly byName: ReadonlyMap<string, Carrier>;
+export interface ServerLoads {
+  readonly byName: ReadonlyMap<string, ServerLoad>;
   /** The weight that a shard counts with, in slots. */
-  weigh(shard: PlacedShard): number;
+  weightOf(shard: PlacedShard): number;
   /** Counts a shard at another server; null is no server. */
-  move(shard: PlacedShard, from: Carrier | null, to: Carrier | null): void;
+  move(shard: PlacedShard, from: ServerLoad | null, to: ServerLoad | null): void;
 }
 
 /**
@@ -27,7 +27,7 @@
  * idle cell spreads its shards too: all of them together as this share of the
  * servers' capacity.
  */
-const BASE_UTILISATION = 0.25;
+const BASE_UTILIZATION = 0.25;
 
 /**
  * The servers of a plan with what they carry now.
@@ -38,27 +38,27 @@
  * carriers.byName.get('bed-3')?.load;
  * ```
  */
-export function createCarriers(input: PlanInput): Carriers {
+export function createServerLoads(input: PlanInput): ServerLoads {
   const {candidates, shards} = input;
   const capacity = candidates.reduce((sum, c) => sum + c.capacity, 0);
-  const base = (capacity * BASE_UTILISATION) / Math.max(1, shards.length);
-  const weigh = (shard: PlacedShard): number => shard.load + base;
-  const byName = new Map<string, Carrier>();
+  const base = (capacity * BASE_UTILIZATION) / Math.max(1, shards.length);
+  const weightOf = (shard: PlacedShard): number => shard.load + base;
+  const byName = new Map<string, ServerLoad>();
   for (const candidate of candidates) {
     const room = candidate.capacity * candidate.readiness;
-    byName.set(candidate.name, {candidate, room, load: 0, busy: 0, count: 0});
+    byName.set(candidate.name, {candidate, usableCapacity: room, weight: 0, busy: 0, shardCount: 0});
   }
-  const count = (carrier: Carrier, shard: PlacedShard, by: 1 | -1): void => {
-    carrier.load += by * weigh(shard);
-    carrier.busy += by * shard.load;
-    carrier.count += by;
+  const count = (server: ServerLoad, shard: PlacedShard, by: 1 | -1): void => {
+    server.weight += by * weightOf(shard);
+    server.busy += by * shard.load;
+    server.shardCount += by;
   };
-  const move: Carriers['move'] = (shard, from, to) => {
+  const move: ServerLoads['move'] = (shard, from, to) => {
     if (from !== null) count(from, shard, -1);
     if (to !== null) count(to, shard, 1);
   };
   for (const shard of shards) {
     move(shard, null, byName.get(shard.server ?? '') ?? null);
   }
-  return {byName, weigh, move};
+  return {byName, weightOf: weightOf, move};
 }
--- a/packages/placement/src/hot-key-meter.ts
+++ b/packages/placement/src/hot-key-meter.ts
@@ -19,18 +19,18 @@
 }
 
 /** Keys remembered at most: any key above 1 / 1024 of the load is found. */
-const CAPACITY = 1024;
+const SKETCH_CAPACITY = 1024;
 
 const HALF_LIFE_MS = 15_000;
 
 /** The number of keys that matter at once. */
-const WANTED = 73;
+const MAX_HOT_KEYS = 73;
 
 /**
  * A new leader tells of no key before this: the first requests of any key
  * would make it look hot.
  */
-const KNOWING_MS = 10_000;
+const WARM_UP_MS = 10_000;
 
 /**
  * Makes the meter of one cell, in bounded memory. Keys are weighed by the
@@ -46,7 +46,7 @@
 export function createHotKeyMeter(clock: Clock): HotKeyMeter {
   const startedAt = clock.now();
   const sketch = createHotKeySketch({
-    capacity: CAPACITY,
+    capacity: SKETCH_CAPACITY,
     halfLifeMs: HALF_LIFE_MS,
   });
   return {
@@ -54,19 +54,19 @@
     hottest() {
       const now = clock.now();
       const age = now - startedAt;
-      if (age < KNOWING_MS) return [];
-      const countedMs = countedOver(age);
-      return sketch.top(WANTED, now).map(({key, weight, error, count}) => ({
+      if (age < WARM_UP_MS) return [];
+      const windowMs = effectiveWindowMs(age);
+      return sketch.top(MAX_HOT_KEYS, now).map(({key, weight, error, count}) => ({
         key,
-        rate: (count * 1000) / countedMs,
-        busy: (weight - error) / countedMs,
+        rate: (count * 1000) / windowMs,
+        busy: (weight - error) / windowMs,
       }));
     },
   };
 }
 
 /** The time that fading counts stand for, in ms. */
-function countedOver(ageMs: number): number {
+function effectiveWindowMs(ageMs: number): number {
   const timeConstant = HALF_LIFE_MS / Math.LN2;
   return timeConstant * (1 - Math.exp(-ageMs / timeConstant));
 }
--- a/packages/placement/src/hot-keys.ts
+++ b/packages/placement/src/hot-keys.ts
@@ -33,11 +33,11 @@
   error: number;
   count: number;
   /** Its place in the heap. */
-  place: number;
+  heapIndex: number;
 }
 
 /** Units are brought back to size before they lose precision. */
-const LARGEST_UNIT = 2 ** 40;
+const MAX_UNIT = 2 ** 40;
 
 /**
  * Makes a space-saving sketch with fading counts. A key that is new to a full
@@ -64,7 +64,7 @@
 
   const unitAt = (now: number): number => {
     const unit = 2 ** ((now - origin) / halfLifeMs);
-    if (unit <= LARGEST_UNIT) return unit;
+    if (unit <= MAX_UNIT) return unit;
     for (const counter of heap) {
       counter.weight /= unit;
       counter.error /= unit;
@@ -75,10 +75,10 @@
     return 1;
   };
 
-  const sink = (counter: Counter): void => {
+  const siftDown = (counter: Counter): void => {
     for (;;) {
-      const left = heap[2 * counter.place + 1];
-      const right = heap[2 * counter.place + 2];
+      const left = heap[2 * counter.heapIndex + 1];
+      const right = heap[2 * counter.heapIndex + 2];
       const lighter =
         right !== undefined && left !== undefined && right.weight < left.weight
           ? right
@@ -88,19 +88,19 @@
     }
   };
 
-  const rise = (counter: Counter): void => {
-    while (counter.place > 0) {
-      const parent = heap[(counter.place - 1) >> 1];
+  const siftUp = (counter: Counter): void => {
+    while (counter.heapIndex > 0) {
+      const parent = heap[(counter.heapIndex - 1) >> 1];
       if (parent === undefined || parent.weight <= counter.weight) return;
       swap(heap, counter, parent);
     }
   };
 
   const insert = (key: string, weight: number, count: number): void => {
-    const counter = {key, weight, error: 0, count, place: heap.length};
+    const counter = {key, weight, error: 0, count, heapIndex: heap.length};
     counters.set(key, counter);
     heap.push(counter);
-    rise(counter);
+    siftUp(counter);
   };
 
   const replaceLightest = (
@@ -116,7 +116,7 @@
     lightest.error = lightest.weight;
     lightest.weight += weight;
     lightest.count = count;
-    sink(lightest);
+    siftDown(lightest);
   };
 
   return {
@@ -128,7 +128,7 @@
       if (counter !== undefined) {
         counter.weight += scaled;
         counter.count += unit;
-        sink(counter);
+        siftDown(counter);
       } else if (heap.length < capacity) {
         insert(key, scaled, unit);
       } else {
@@ -153,9 +153,9 @@
 }
 
 function swap(heap: Counter[], a: Counter, b: Counter): void {
-  const place = a.place;
-  a.place = b.place;
-  b.place = place;
-  heap[a.place] = a;
-  heap[b.place] = b;
+  const index = a.heapIndex;
+  a.heapIndex = b.heapIndex;
+  b.heapIndex = index;
+  heap[a.heapIndex] = a;
+  heap[b.heapIndex] = b;
 }
--- a/packages/placement/src/place-orphans.ts
+++ b/packages/placement/src/place-orphans.ts
@@ -1,5 +1,5 @@
 import {rendezvousWeight} from '@banyandrum/base/hash.js';
-import type {Carrier, Carriers} from './carriers.js';
+import type {ServerLoad, ServerLoads} from './carriers.js';
 import type {Move, PlacedShard} from './plan.js';
 
 /**
@@ -13,36 +13,36 @@
  * const moves = placeOrphans(input.shards, carriers);
  * ```
  */
-export function placeOrphans(
+export function placeUnassigned(
   shards: readonly PlacedShard[],
-  carriers: Carriers,
+  servers: ServerLoads,
 ): readonly Move[] {
-  const receivers = [...carriers.byName.values()].filter(c => c.room > 0);
+  const receivers = [...servers.byName.values()].filter(c => c.usableCapacity > 0);
   if (receivers.length === 0) return [];
   return shards
-    .filter(shard => !isPlaced(shard, carriers))
+    .filter(shard => !isPlaced(shard, servers))
     .sort((a, b) => b.load - a.load || (a.shard < b.shard ? -1 : 1))
-    .map(shard => placeOne(shard, receivers, carriers));
+    .map(shard => placeShard(shard, receivers, servers));
 }
 
-function isPlaced(shard: PlacedShard, carriers: Carriers): boolean {
+function isPlaced(shard: PlacedShard, servers: ServerLoads): boolean {
   if (shard.pinned) return true;
   if (shard.server === null) return false;
-  const carrier = carriers.byName.get(shard.server);
-  return carrier !== undefined && carrier.candidate.readiness > 0;
+  const server = servers.byName.get(shard.server);
+  return server !== undefined && server.candidate.readiness > 0;
 }
 
-function placeOne(
+function placeShard(
   shard: PlacedShard,
-  receivers: readonly Carrier[],
-  carriers: Carriers,
+  receivers: readonly ServerLoad[],
+  servers: ServerLoads,
 ): Move {
-  const weight = carriers.weigh(shard);
+  const weight = servers.weightOf(shard);
   const best = receivers.reduce((a, b) =>
     fillsLess(shard, weight, b, a) ? b : a,
   );
   const from = shard.server;
-  carriers.move(shard, carriers.byName.get(from ?? '') ?? null, best);
+  servers.move(shard, servers.byName.get(from ?? '') ?? null, best);
   return {
     shard: shard.shard,
     from,
@@ -54,10 +54,10 @@
 function fillsLess(
   {shard}: PlacedShard,
   weight: number,
-  a: Carrier,
-  b: Carrier,
+  a: ServerLoad,
+  b: ServerLoad,
 ): boolean {
-  const difference = (a.load + weight) / a.room - (b.load + weight) / b.room;
+  const difference = (a.weight + weight) / a.usableCapacity - (b.weight + weight) / b.usableCapacity;
   if (Math.abs(difference) > 1e-9) return difference < 0;
   return (
     rendezvousWeight(shard, a.candidate.name) >
--- a/packages/placement/src/plan-moves.ts
+++ b/packages/placement/src/plan-moves.ts
@@ -1,7 +1,7 @@
 import {balance} from './balance.js';
-import type {MayMove} from './calm.js';
-import {createCarriers} from './carriers.js';
-import {placeOrphans} from './place-orphans.js';
+import type {MoveFilter} from './calm.js';
+import {createServerLoads} from './carriers.js';
+import {placeUnassigned} from './place-orphans.js';
 import type {Move, PlanInput} from './plan.js';
 
 /**
@@ -16,14 +16,14 @@
  */
 export function planMoves(
   input: PlanInput,
-  mayMove?: MayMove,
+  isAllowed?: MoveFilter,
 ): readonly Move[] {
   const sorted = sortInput(input);
-  const carriers = createCarriers(sorted);
-  const forced = placeOrphans(sorted.shards, carriers);
+  const servers = createServerLoads(sorted);
+  const forced = placeUnassigned(sorted.shards, servers);
   const placed = new Set(forced.map(({shard}) => shard));
   const shards = sorted.shards.filter(({shard}) => !placed.has(shard));
-  return [...forced, ...balance({...sorted, shards}, carriers, mayMove)];
+  return [...forced, ...balance({...sorted, shards}, servers, isAllowed)];
 }
 
 /**
@@ -36,7 +36,7 @@
  * ```
  */
 export function planForcedMoves(input: PlanInput): readonly Move[] {
-  return placeOrphans(input.shards, createCarriers(input));
+  return placeUnassigned(input.shards, createServerLoads(input));
 }
 
 /** Ties are decided by order, which must not depend on the caller's. */
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,5 +1,5 @@
-import {hasTooMany, isLoadClear, isShort} from './calm.js';
-import {type Carrier, type Carriers, createCarriers} from './carriers.js';
+import {isOverfilled, isImbalanceSignificant, isUnderfilled} from './calm.js';
+import {type ServerLoad, type ServerLoads, createServerLoads} from './carriers.js';
 import type {Move, PlanInput} from './plan.js';
 import {planMoves} from './plan-moves.js';
 
@@ -16,13 +16,13 @@
 export const SUSTAIN_MS = 30_000;
 
 /** From this share of its capacity on, a server's requests wait for long. */
-const FULL_SHARE = 0.6;
+const HIGH_UTILIZATION = 0.6;
 
 /** A server that is nearly full gives shards away after half that time. */
-const FULL_SUSTAIN_MS = SUSTAIN_MS / 2;
+const HIGH_UTILIZATION_SUSTAIN_MS = SUSTAIN_MS / 2;
 
 /** How long a server must be short of shards before it gets some. */
-const SHORT_MS = 5000;
+const UNDERFILLED_MS = 5000;
 
 /**
  * Makes the planner of one leadership. For balance it moves shards only off
@@ -39,20 +39,20 @@
  * ```
  */
 export function createPlanner(): Planner {
-  const busySince = new Map<string, number>();
-  const shortSince = new Map<string, number>();
+  const overloadedSince = new Map<string, number>();
+  const underfilledSince = new Map<string, number>();
 
-  const note = (carriers: Carriers, now: number): void => {
+  const updateConditions = (carriers: ServerLoads, now: number): void => {
     const all = [...carriers.byName.values()];
-    const givers = all.filter(from => all.some(to => isLoadClear(from, to)));
-    const receivers = all.filter(to => isShort(to, carriers));
-    keepOnly(busySince, givers, now);
-    keepOnly(shortSince, receivers, now);
+    const donors = all.filter(from => all.some(to => isImbalanceSignificant(from, to)));
+    const receivers = all.filter(to => isUnderfilled(to, carriers));
+    updateSince(overloadedSince, donors, now);
+    updateSince(underfilledSince, receivers, now);
   };
 
-  const lasts = (
+  const hasLasted = (
     since: ReadonlyMap<string, number>,
-    {candidate}: Carrier,
+    {candidate}: ServerLoad,
     now: number,
     ms: number,
   ): boolean => now - (since.get(candidate.name) ?? Infinity) >= ms;
@@ -60,14 +60,14 @@
   return {
     plan(input) {
       const {now} = input;
-      const carriers = createCarriers(input);
-      note(carriers, now);
-      return planMoves(freeCrowded(input, carriers), (from, to, carriers) => {
-        const ms = sustainMs(from);
-        if (lasts(busySince, from, now, ms) && isLoadClear(from, to)) {
+      const carriers = createServerLoads(input);
+      updateConditions(carriers, now);
+      return planMoves(allowMovesOffOverfilled(input, carriers), (from, to, carriers) => {
+        const ms = requiredSustainMs(from);
+        if (hasLasted(overloadedSince, from, now, ms) && isImbalanceSignificant(from, to)) {
           return true;
         }
-        return lasts(shortSince, to, now, SHORT_MS) && isShort(to, carriers);
+        return hasLasted(underfilledSince, to, now, UNDERFILLED_MS) && isUnderfilled(to, carriers);
       });
     },
   };
@@ -78,29 +78,29 @@
  * lost together the first to come back gets every shard, and would keep them
  * for as long as moved shards stay, refusing most of what is asked.
  */
-function freeCrowded(input: PlanInput, carriers: Carriers): PlanInput {
-  const isCrowded = (server: string | null): boolean => {
-    const carrier = carriers.byName.get(server ?? '');
-    return carrier !== undefined && hasTooMany(carrier, carriers);
+function allowMovesOffOverfilled(input: PlanInput, servers: ServerLoads): PlanInput {
+  const isOnOverfilledServer = (server: string | null): boolean => {
+    const load = servers.byName.get(server ?? '');
+    return load !== undefined && isOverfilled(load, servers);
   };
   const shards = input.shards.map(shard =>
-    isCrowded(shard.server) ? {...shard, movedAt: -Infinity} : shard,
+    isOnOverfilledServer(shard.server) ? {...shard, movedAt: -Infinity} : shard,
   );
   return {...input, shards};
 }
 
-function sustainMs({busy, candidate}: Carrier): number {
-  const isFull = busy >= candidate.capacity * FULL_SHARE;
-  return isFull ? FULL_SUSTAIN_MS : SUSTAIN_MS;
+function requiredSustainMs({busy, candidate}: ServerLoad): number {
+  const isFull = busy >= candidate.capacity * HIGH_UTILIZATION;
+  return isFull ? HIGH_UTILIZATION_SUSTAIN_MS : SUSTAIN_MS;
 }
 
 /** Keeps since when each has been so, without a break. */
-function keepOnly(
+function updateSince(
   since: Map<string, number>,
-  carriers: readonly Carrier[],
+  servers: readonly ServerLoad[],
   now: number,
 ): void {
-  const names = new Set(carriers.map(({candidate}) => candidate.name));
+  const names = new Set(servers.map(({candidate}) => candidate.name));
   for (const name of since.keys()) if (!names.has(name)) since.delete(name);
   for (const name of names) if (!since.has(name)) since.set(name, now);
 }
--- a/packages/placement/src/smooth-loads.ts
+++ b/packages/placement/src/smooth-loads.ts
@@ -1,9 +1,9 @@
 import type {ShardId} from '@banyandrum/base/ids.js';
 
 /** Loads of shards, averaged over time. */
-export interface SmoothLoads {
+export interface SmoothedLoads {
   /** Takes the loads of one period in; shards left out count as idle. */
-  note(loads: ReadonlyMap<ShardId, number>, periodMs: number): void;
+  update(loads: ReadonlyMap<ShardId, number>, periodMs: number): void;
   get(shard: ShardId): number;
 }
 
@@ -11,7 +11,7 @@
 const HALF_LIFE_MS = 5000;
 
 /** Below this a shard is idle, and forgotten. */
-const IDLE = 1e-4;
+const IDLE_LOAD = 1e-4;
 
 /**
  * Averages loads with a half-life of 5 s, so that a short peak or one wrong
@@ -23,19 +23,19 @@
  * loads.get('12');
  * ```
  */
-export function createSmoothLoads(): SmoothLoads {
-  const smooth = new Map<ShardId, number>();
+export function createSmoothedLoads(): SmoothedLoads {
+  const smoothed = new Map<ShardId, number>();
   return {
-    note(loads, periodMs) {
-      const keep = 0.5 ** (periodMs / HALF_LIFE_MS);
-      for (const [shard, value] of smooth) {
-        if (value * keep < IDLE) smooth.delete(shard);
-        else smooth.set(shard, value * keep);
+    update(loads, periodMs) {
+      const retained = 0.5 ** (periodMs / HALF_LIFE_MS);
+      for (const [shard, value] of smoothed) {
+        if (value * retained < IDLE_LOAD) smoothed.delete(shard);
+        else smoothed.set(shard, value * retained);
       }
       for (const [shard, value] of loads) {
-        smooth.set(shard, (smooth.get(shard) ?? 0) + value * (1 - keep));
+        smoothed.set(shard, (smoothed.get(shard) ?? 0) + value * (1 - retained));
       }
     },
-    get: shard => smooth.get(shard) ?? 0,
+    get: shard => smoothed.get(shard) ?? 0,
   };
 }
--- a/packages/placement/test/hot-keys.test.ts
+++ b/packages/placement/test/hot-keys.test.ts
@@ -2,7 +2,7 @@
 import {createCapacityEstimate} from '@banyandrum/placement/capacity.js';
 import {createHotKeyMeter} from '@banyandrum/placement/hot-key-meter.js';
 import {createHotKeySketch} from '@banyandrum/placement/hot-keys.js';
-import {createSmoothLoads} from '@banyandrum/placement/smooth-loads.js';
+import {createSmoothedLoads} from '@banyandrum/placement/smooth-loads.js';
 
 const HOTTEST = 73;
 
@@ -15,7 +15,7 @@
 }
 
 /** Requests of one second: a tenth for the hottest keys, the rest scattered. */
-function ask(
+function recordRequests(
   add: (key: string, now: number) => void,
   random: () => number,
   prefix: string,
@@ -34,12 +34,12 @@
   const sketch = createHotKeySketch({capacity: 1024, halfLifeMs: 15_000});
   const random = createRandom(7);
   let now = 0;
-  for (; now < 120_000; now += 1000) ask(sketch.add, random, 'claim', now);
+  for (; now < 120_000; now += 1000) recordRequests(sketch.add, random, 'claim', now);
   const found = (prefix: string): number =>
     sketch.top(HOTTEST, now).filter(({key}) => key.startsWith(`${prefix}-`))
       .length;
   t.equal(found('claim'), HOTTEST);
-  for (; now < 180_000; now += 1000) ask(sketch.add, random, 'ward', now);
+  for (; now < 180_000; now += 1000) recordRequests(sketch.add, random, 'ward', now);
   t.equal(found('ward'), HOTTEST, 'the new ones have taken over');
   t.equal(sketch.size(), 1024, 'memory is bounded');
   t.end();
@@ -64,22 +64,22 @@
 void tap.test('capacity follows what a server does', t => {
   const estimate = createCapacityEstimate();
   const sight = {slots: 4, busy: 2, shed: 0};
-  t.equal(estimate.note(sight, 1000), 4);
-  t.equal(estimate.note({...sight, shed: 3}, 1000), 1.8);
-  const later = estimate.note(sight, 10_000);
+  t.equal(estimate.update(sight, 1000), 4);
+  t.equal(estimate.update({...sight, shed: 3}, 1000), 1.8);
+  const later = estimate.update(sight, 10_000);
   t.ok(later > 2.5 && later < 2.7, 'recovers slowly');
-  t.equal(estimate.note(sight, 100_000), 4);
-  t.ok(estimate.note({...sight, busy: 0, shed: 1}, 1000) > 0);
+  t.equal(estimate.update(sight, 100_000), 4);
+  t.ok(estimate.update({...sight, busy: 0, shed: 1}, 1000) > 0);
   t.end();
 });
 
 void tap.test('one wrong figure hardly shows in a smoothed load', t => {
-  const loads = createSmoothLoads();
-  for (let i = 0; i < 100; i++) loads.note(new Map([['1', 1]]), 500);
+  const loads = createSmoothedLoads();
+  for (let i = 0; i < 100; i++) loads.update(new Map([['1', 1]]), 500);
   t.ok(Math.abs(loads.get('1') - 1) < 0.01);
-  loads.note(new Map([['1', 4]]), 500);
+  loads.update(new Map([['1', 4]]), 500);
   t.ok(loads.get('1') < 1.25);
-  for (let i = 0; i < 400; i++) loads.note(new Map(), 500);
+  for (let i = 0; i < 400; i++) loads.update(new Map(), 500);
   t.equal(loads.get('1'), 0);
   t.end();
 });
--- a/packages/placement/test/planner.test.ts
+++ b/packages/placement/test/planner.test.ts
@@ -7,7 +7,7 @@
 } from '@banyandrum/placement/plan.js';
 import {planMoves} from '@banyandrum/placement/plan-moves.js';
 import {createPlanner, SUSTAIN_MS} from '@banyandrum/placement/planner.js';
-import {createSmoothLoads} from '@banyandrum/placement/smooth-loads.js';
+import {createSmoothedLoads} from '@banyandrum/placement/smooth-loads.js';
 
 const SERVERS = ['a', 'b', 'c', 'd'];
 const PER_SERVER = 16;
@@ -18,18 +18,18 @@
 const WEIGHTS = {imbalance: 1, churn: 1, unavailable: 1};
 
 /** Slots that each server's shards keep busy in one period of 2 s. */
-type Busy = (server: string, now: number) => number;
+type BusySlots = (server: string, now: number) => number;
 
-interface Case {
+interface Scenario {
   readonly name: string;
-  readonly busy: Busy;
+  readonly busy: BusySlots;
   readonly seconds: number;
   readonly servers?: readonly string[];
   readonly serviceMs?: number;
   /** Whether anything is to move. */
-  readonly moves: 'none' | 'some';
+  readonly expected: 'none' | 'some';
   /** Whether plans without memory would move something. */
-  readonly restless: 'none' | 'some';
+  readonly expectedWithoutMemory: 'none' | 'some';
 }
 
 function createRandom(seed: number): () => number {
@@ -51,13 +51,13 @@
 }
 
 /** Plans every 2 s as a leader does, with and without memory. */
-function play(
-  {busy, seconds, servers = SERVERS, serviceMs = 100}: Case,
+function simulate(
+  {busy, seconds, servers = SERVERS, serviceMs = 100}: Scenario,
   seed: number,
-): {readonly calm: readonly Move[]; readonly restless: number} {
+): {readonly moves: readonly Move[]; readonly movesWithoutMemory: number} {
   const random = createRandom(seed);
   const planner = createPlanner();
-  const loads = createSmoothLoads();
+  const loads = createSmoothedLoads();
   const metered = new Map<string, number>();
   const owners = new Map(
     SERVERS.flatMap(server =>
@@ -74,7 +74,7 @@
       metered.set(shard, last + (drawn - last) * METER_SHARE);
       return [shard, metered.get(shard)!];
     });
-    loads.note(new Map(drawn), PLAN_MS);
+    loads.update(new Map(drawn), PLAN_MS);
     const shards = [...owners].map(([shard, server]): PlacedShard => ({
       shard,
       server,
@@ -92,7 +92,7 @@
       owners.set(move.shard, move.to);
     }
   }
-  return {calm, restless};
+  return {moves: calm, movesWithoutMemory: restless};
 }
 
 // A service that is hardly used, and one on a busy machine. The leader counts
@@ -100,91 +100,91 @@
 // moment; or the leader is new and has counted for a second. If it takes
 // chance for load, shards move to and fro for ever, each time making callers
 // wait, though there was nothing to be gained.
-const CASES: readonly Case[] = [
+const SCENARIOS: readonly Scenario[] = [
   {
     name: 'idle',
     busy: () => 0,
     seconds: 120,
-    moves: 'none',
-    restless: 'none',
+    expected: 'none',
+    expectedWithoutMemory: 'none',
   },
   {
     name: 'hardly used',
     busy: () => 0.2,
     seconds: 600,
-    moves: 'none',
-    restless: 'some',
+    expected: 'none',
+    expectedWithoutMemory: 'some',
   },
   {
     name: 'well used, loads alike but for chance',
     busy: () => 2,
     serviceMs: 400,
     seconds: 600,
-    moves: 'none',
-    restless: 'some',
+    expected: 'none',
+    expectedWithoutMemory: 'some',
   },
   {
     name: 'long requests, few of them',
     busy: () => 1.5,
     serviceMs: 2000,
     seconds: 300,
-    moves: 'none',
-    restless: 'some',
+    expected: 'none',
+    expectedWithoutMemory: 'some',
   },
   {
     // All its requests end at once, and count as busy for so long.
     name: 'one server stands still for 4 s',
     busy: (server, now) => (server === 'a' && now === 60_000 ? 8 : 1),
     seconds: 120,
-    moves: 'none',
-    restless: 'some',
+    expected: 'none',
+    expectedWithoutMemory: 'some',
   },
   {
     name: 'a new leader, before it knows',
     busy: server => (server === 'a' ? 3.8 : 1),
     seconds: SUSTAIN_MS / 2000,
-    moves: 'none',
-    restless: 'some',
+    expected: 'none',
+    expectedWithoutMemory: 'some',
   },
   {
     name: 'one server is clearly and lastingly busier',
     busy: server => (server === 'a' ? 3.8 : 1),
     seconds: 60,
-    moves: 'some',
-    restless: 'some',
+    expected: 'some',
+    expectedWithoutMemory: 'some',
   },
   {
     name: 'a server came later',
     busy: () => 0.2,
     servers: [...SERVERS, 'e'],
     seconds: 20,
-    moves: 'some',
-    restless: 'some',
+    expected: 'some',
+    expectedWithoutMemory: 'some',
   },
 ];
 
-for (const one of CASES) {
-  void tap.test(`${one.name}: ${one.moves} of the shards move`, t => {
+for (const one of SCENARIOS) {
+  void tap.test(`${one.name}: ${one.expected} of the shards move`, t => {
     let moved = 0;
     for (let seed = 1; seed <= 3; seed++) {
-      const {calm, restless} = play(one, seed);
-      t.equal(calm.length > 0 ? 'some' : 'none', one.moves, `seed ${seed}`);
+      const {moves: calm, movesWithoutMemory: restless} = simulate(one, seed);
+      t.equal(calm.length > 0 ? 'some' : 'none', one.expected, `seed ${seed}`);
       moved += restless;
     }
-    t.equal(moved > 0 ? 'some' : 'none', one.restless, 'without memory');
+    t.equal(moved > 0 ? 'some' : 'none', one.expectedWithoutMemory, 'without memory');
     t.end();
   });
 }
 
 void tap.test('what moves is what has to', t => {
-  const joined = CASES.find(({name}) => name === 'a server came later')!;
-  const {calm} = play({...joined, seconds: 300}, 1);
+  const joined = SCENARIOS.find(({name}) => name === 'a server came later')!;
+  const {moves: calm} = simulate({...joined, seconds: 300}, 1);
   const half = (SERVERS.length * PER_SERVER) / 5 / 2;
   t.ok(calm.every(({to}) => to === 'e'));
   t.equal(calm.length, Math.ceil(half), 'half of its share, where all is idle');
 
-  const lost: Case = {...joined, servers: ['a', 'b', 'c'], seconds: 2};
-  const forced = play(lost, 1).calm;
+  const lost: Scenario = {...joined, servers: ['a', 'b', 'c'], seconds: 2};
+  const forced = simulate(lost, 1).moves;
   t.equal(forced.length, PER_SERVER, 'the shards of a lost server, at once');
   t.ok(forced.every(({from}) => from === 'd'));
   t.end();
