--- a/packages/placement/src/calm.ts
+++ b/packages/placement/src/calm.ts
@@ -26,10 +26,10 @@
 const AVERAGING_WINDOW_MS = 34_000;
 
 /** A server short of shards has less than this part of its fair share. */
-const UNDERFILLED_SHARE = 0.5;
+const TOO_FEW_SHARE = 0.5;
 
 /** A server is crowded with more than this many times its fair share. */
-const OVERFILLED_FACTOR = 2;
+const TOO_MANY_FACTOR = 2;
 
 /**
  * Whether the load of two servers differs clearly: the giver is really busy,
@@ -49,17 +49,17 @@
  * others. Their number is no matter of chance. One that is busy all the same
  * has few shards because they are heavy.
  */
-export function isUnderfilled(to: ServerLoad, carriers: ServerLoads): boolean {
+export function hasTooFew(to: ServerLoad, carriers: ServerLoads): boolean {
   const all = [...carriers.byName.values()];
   const capacity = sum(all, ({candidate}) => candidate.capacity);
   const fair = fairShardCount(to, carriers);
   const mean = sum(all, ({busy}) => busy) / capacity;
-  return to.shardCount < fair * UNDERFILLED_SHARE && utilization(to) <= mean;
+  return to.shardCount < fair * TOO_FEW_SHARE && utilization(to) <= mean;
 }
 
 /** Whether a server has more than twice its fair share of the shards. */
-export function isOverfilled(from: ServerLoad, carriers: ServerLoads): boolean {
-  return from.shardCount > fairShardCount(from, carriers) * OVERFILLED_FACTOR;
+export function hasTooMany(from: ServerLoad, carriers: ServerLoads): boolean {
+  return from.shardCount > fairShardCount(from, carriers) * TOO_MANY_FACTOR;
 }
 
 function fairShardCount({usableCapacity: room}: ServerLoad, {byName}: ServerLoads): number {
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,4 +1,4 @@
-import {isOverfilled, isImbalanceSignificant, isUnderfilled} from './calm.js';
+import {hasTooMany, isImbalanceSignificant, hasTooFew} from './calm.js';
 import {type ServerLoad, type ServerLoads, createServerLoads} from './carriers.js';
 import type {Move, PlanInput} from './plan.js';
 import {planMoves} from './plan-moves.js';
@@ -22,7 +22,7 @@
 const HIGH_UTILIZATION_SUSTAIN_MS = SUSTAIN_MS / 2;
 
 /** How long a server must be short of shards before it gets some. */
-const UNDERFILLED_MS = 5000;
+const TOO_FEW_MS = 5000;
 
 /**
  * Makes the planner of one leadership. For balance it moves shards only off
@@ -40,17 +40,17 @@
  */
 export function createPlanner(): Planner {
   const overloadedSince = new Map<string, number>();
-  const underfilledSince = new Map<string, number>();
+  const tooFewSince = new Map<string, number>();
 
   const updateConditions = (carriers: ServerLoads, now: number): void => {
     const all = [...carriers.byName.values()];
     const donors = all.filter(from => all.some(to => isImbalanceSignificant(from, to)));
-    const receivers = all.filter(to => isUnderfilled(to, carriers));
+    const receivers = all.filter(to => hasTooFew(to, carriers));
     updateSince(overloadedSince, donors, now);
-    updateSince(underfilledSince, receivers, now);
+    updateSince(tooFewSince, receivers, now);
   };
 
-  const hasLasted = (
+  const lasts = (
     since: ReadonlyMap<string, number>,
     {candidate}: ServerLoad,
     now: number,
@@ -62,12 +62,12 @@
       const {now} = input;
       const carriers = createServerLoads(input);
       updateConditions(carriers, now);
-      return planMoves(allowMovesOffOverfilled(input, carriers), (from, to, carriers) => {
+      return planMoves(freeExcessShards(input, carriers), (from, to, carriers) => {
         const ms = requiredSustainMs(from);
-        if (hasLasted(overloadedSince, from, now, ms) && isImbalanceSignificant(from, to)) {
+        if (lasts(overloadedSince, from, now, ms) && isImbalanceSignificant(from, to)) {
           return true;
         }
-        return hasLasted(underfilledSince, to, now, UNDERFILLED_MS) && isUnderfilled(to, carriers);
+        return lasts(tooFewSince, to, now, TOO_FEW_MS) && hasTooFew(to, carriers);
       });
     },
   };
@@ -78,13 +78,13 @@
  * lost together the first to come back gets every shard, and would keep them
  * for as long as moved shards stay, refusing most of what is asked.
  */
-function allowMovesOffOverfilled(input: PlanInput, servers: ServerLoads): PlanInput {
-  const isOnOverfilledServer = (server: string | null): boolean => {
+function freeExcessShards(input: PlanInput, servers: ServerLoads): PlanInput {
+  const isExcess = (server: string | null): boolean => {
     const load = servers.byName.get(server ?? '');
-    return load !== undefined && isOverfilled(load, servers);
+    return load !== undefined && hasTooMany(load, servers);
   };
   const shards = input.shards.map(shard =>
-    isOnOverfilledServer(shard.server) ? {...shard, movedAt: -Infinity} : shard,
+    isExcess(shard.server) ? {...shard, movedAt: -Infinity} : shard,
   );
   return {...input, shards};
 }
