--- a/packages/gateway/src/caller-ages.ts
+++ b/packages/gateway/src/caller-ages.ts
@@ -1,8 +1,9 @@
 /** Estimates for how long callers had been retrying before a request. */
 export interface RetryAges {
   /**
-   * Records the timeout of a request, in ms, and returns for how long its caller
-   * had been retrying already, in ms; 0 if it appears to be a first attempt.
+   * Records the timeout of a request, in ms, and returns for how long its
+   * caller had been retrying already, in ms; 0 if it appears to be a first
+   * attempt.
    */
   observe(route: string, timeoutMs: number): number;
 }
@@ -39,11 +40,11 @@
 }
 
 /**
- * Distinguishes retries after a refusal from first attempts. Clients of one kind
- * start with the same timeout and retry with the remainder. When retries were
- * treated as first attempts, they waited for slots until their responses came
- * too late, and took those slots from other requests. If the timeouts of a route
- * vary from request to request, none is treated as a retry.
+ * Distinguishes retries after a refusal from first attempts. Clients of one
+ * kind start with the same timeout and retry with the remainder. When retries
+ * were treated as first attempts, they waited for slots until their responses
+ * came too late, and took those slots from other requests. If the timeouts of a
+ * route vary from request to request, none is treated as a retry.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/event-log.ts
+++ b/packages/gateway/src/event-log.ts
@@ -29,7 +29,8 @@
 /**
  * Creates a log that writes to the file descriptor `fd`. A slow reader never
  * delays the process: writes are asynchronous, one at a time, and lines that
- * don't fit the buffer are dropped. A `lines-dropped` event reports their number.
+ * don't fit the buffer are dropped. A `lines-dropped` event reports their
+ * number.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/frontend.ts
+++ b/packages/gateway/src/frontend.ts
@@ -95,12 +95,12 @@
  */
 const IDLE_MARGIN_MS = 1_000;
 /**
- * Event loop lag above which requests are refused, in ms. Refusing is cheap, and
- * callers retry at another router. Without it, a leader that was restarted under
- * full load spent five seconds reading requests whose callers had already given
- * up, and forwarded some of them. CPU quotas with a period of 100 ms cause lags
- * of up to 70 ms; the callers with the shortest known timeouts give up after
- * 133 ms if their request is not read.
+ * Event loop lag above which requests are refused, in ms. Refusing is cheap,
+ * and callers retry at another router. Without it, a leader that was restarted
+ * under full load spent five seconds reading requests whose callers had already
+ * given up, and forwarded some of them. CPU quotas with a period of 100 ms
+ * cause lags of up to 70 ms; the callers with the shortest known timeouts give
+ * up after 133 ms if their request is not read.
  */
 const MAX_LOOP_LAG_MS = 100;
 /** `Retry-After` of an overloaded router, in ms; another router can answer. */
--- a/packages/gateway/src/loop-lag.ts
+++ b/packages/gateway/src/loop-lag.ts
@@ -16,8 +16,8 @@
 const SAMPLES = 3;
 
 /**
- * Measures how late timers fire. A process that is short of processor time reads
- * requests long after callers sent them.
+ * Measures how late timers fire. A process that is short of processor time
+ * reads requests long after callers sent them.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -12,7 +12,9 @@
       readonly kind: 'read';
       /** Null if there is no newer readable configuration. */
       readonly config: RoutingConfig | null;
-      /** Why a newer configuration can't be read; null if there is none such. */
+      /**
+       * Why a newer configuration can't be read; null if there is none such.
+       */
       readonly unreadable: string | null;
       /** Position from which the next read continues. */
       readonly cursor: number;
@@ -95,8 +97,8 @@
 export interface Platform {
   readonly names: WireNames;
   /**
-   * Waits up to `waitMs` for a configuration newer than `cursor`; null reads the
-   * current one.
+   * Waits up to `waitMs` for a configuration newer than `cursor`; null reads
+   * the current one.
    */
   readConfig(cursor: number | null, waitMs: number): Promise<ConfigRead>;
   /** Reads changes since `cursor`; null reads the whole list. */
--- a/packages/gateway/src/refresh-loops.ts
+++ b/packages/gateway/src/refresh-loops.ts
@@ -60,8 +60,8 @@
 }
 
 /**
- * Keeps this router's state up to date. A follower takes it from the leader; the
- * leader, and a router without a leader, read the platform.
+ * Keeps this router's state up to date. A follower takes it from the leader;
+ * the leader, and a router without a leader, read the platform.
  *
  * @example
  * ```ts
@@ -102,7 +102,9 @@
   );
 }
 
-/** Omits owners recorded before the store was restored: they may be outdated. */
+/**
+ * Omits owners recorded before the store was restored: they may be outdated.
+ */
 function toServedRange(holding: Holding, storeEpoch: number): ServedRange {
   const {from, to, server, fence} = holding;
   const isCurrent = storeEpochOfFence(fence) === storeEpoch;
--- a/packages/gateway/src/repeat.ts
+++ b/packages/gateway/src/repeat.ts
@@ -5,11 +5,11 @@
 const ERROR_PAUSE_MS = 200;
 
 /**
- * Runs `task` repeatedly, with a pause of `pauseMs`, while `goesOn` returns true.
- * The first run starts in a microtask, so that the task may use variables that
- * are initialized after this call. An unexpected error is logged and doesn't end
- * the loop: the process would otherwise keep serving from outdated state without
- * anyone noticing.
+ * Runs `task` repeatedly, with a pause of `pauseMs`, while `goesOn` returns
+ * true. The first run starts in a microtask, so that the task may use variables
+ * that are initialized after this call. An unexpected error is logged and
+ * doesn't end the loop: the process would otherwise keep serving from outdated
+ * state without anyone noticing.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/stop-router.ts
+++ b/packages/gateway/src/stop-router.ts
@@ -46,9 +46,9 @@
   void routers.leave(cfg.goesOn).then(() => handOver(leadership, clock));
   const end = startedAt + graceMs - EXIT_RESERVE_MS;
   await sleep(clock, Math.min(BALANCER_NOTICE_MS, graceMs / 2));
-  // By now the load balancer opens no new connections. A request that arrives on
-  // a kept-alive connection as it closes was not read, so its caller retries it;
-  // one that arrived just before the process exits would be lost.
+  // By now the load balancer opens no new connections. A request that arrives
+  // on a kept-alive connection as it closes was not read, so its caller retries
+  // it; one that arrived just before the process exits would be lost.
   entry.server.close();
   const isNeeded = (): boolean =>
     entry.inFlight() > 0 || leadership.isLeading();
--- a/packages/gateway/src/turns.ts
+++ b/packages/gateway/src/turns.ts
@@ -34,10 +34,10 @@
 
 /**
  * Tracks requests that callers pipeline, that is, send before earlier ones are
- * answered. Node's HTTP server writes responses in order and discards everything
- * after a response with `Connection: close`, so only the newest forwarded
- * request may have such a response. Besides, it emits `close` only on the first
- * pending response when the caller disconnects.
+ * answered. Node's HTTP server writes responses in order and discards
+ * everything after a response with `Connection: close`, so only the newest
+ * forwarded request may have such a response. Besides, it emits `close` only on
+ * the first pending response when the caller disconnects.
  *
  * @example
  * ```ts
--- a/packages/gateway/src/wakeful-clock.ts
+++ b/packages/gateway/src/wakeful-clock.ts
@@ -6,10 +6,10 @@
 /**
  * Creates a clock, in ms, that also advances while the host is suspended, for
  * state that must expire meanwhile. The monotonic clock stops during a
- * suspension: a resumed leader would believe that it had been confirmed a moment
- * ago and renew leases of keys that another leader has since reassigned. The
- * wall clock advances, but can be set: a jump forward counts as a suspension,
- * which only makes state expire early, and a jump back is ignored.
+ * suspension: a resumed leader would believe that it had been confirmed a
+ * moment ago and renew leases of keys that another leader has since reassigned.
+ * The wall clock advances, but can be set: a jump forward counts as a
+ * suspension, which only makes state expire early, and a jump back is ignored.
  *
  * @example
  * ```ts
--- a/packages/gateway/test/event-log.test.ts
+++ b/packages/gateway/test/event-log.test.ts
@@ -15,8 +15,9 @@
   t.match(JSON.parse(lines[499]!), {event: 'answered', id: 'r499'});
 });
 
-// The reader of the output hangs. Requests must not wait for it, and memory must
-// not grow: lines beyond the limit are dropped, and their number is logged.
+// The reader of the output hangs. Requests must not wait for it, and memory
+// must not grow: lines beyond the limit are dropped, and their number is
+// logged.
 void tap.test('a reader that hangs costs lines, not time', async t => {
   const path = join(t.testdir({}), 'log');
   const fd = openSync(path, 'w');
--- a/packages/gateway/test/loop-lag.test.ts
+++ b/packages/gateway/test/loop-lag.test.ts
@@ -28,9 +28,9 @@
   };
 }
 
-// A single pause, such as a garbage collection, is over when the next request is
-// read, so that request can be served. Repeated lag means that the process is
-// short of processor time, and requests should be refused.
+// A single pause, such as a garbage collection, is over when the next request
+// is read, so that request can be served. Repeated lag means that the process
+// is short of processor time, and requests should be refused.
 void tap.test('a single pause is no lack of processor time', async t => {
   const clock = createLateClock();
   const monitor = monitorLoopLag(clock);
--- a/packages/gateway/test/vitals.test.ts
+++ b/packages/gateway/test/vitals.test.ts
@@ -3,9 +3,9 @@
 import {reportVitals} from '@banyandrum/gateway/vitals.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
-// An operator investigates why callers were refused for two seconds: the line of
-// that period must show the lag and the platform calls of these two seconds, not
-// totals since the start.
+// An operator investigates why callers were refused for two seconds: the line
+// of that period must show the lag and the platform calls of these two seconds,
+// not totals since the start.
 void tap.test('a line covers its own period only', async t => {
   const clock = createManualClock();
   const lines: EventFields[] = [];
