--- a/packages/base/src/access.ts
+++ b/packages/base/src/access.ts
@@ -1,15 +1,15 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** What a token allows; a publisher may do all that a viewer may. */
+/** Role of an operator; a publisher has all permissions of a viewer. */
 export type Role = 'viewer' | 'publisher';
 
-/** Who asks, by the token presented. */
+/** An authenticated operator. */
 export interface Operator {
   readonly name: string;
   readonly role: Role;
 }
 
-/** A token that an operator may present, known by its digest alone. */
+/** An operator's token; only its digest is stored. */
 export interface OperatorToken {
   readonly operator: string;
   readonly role: Role;
@@ -17,7 +17,7 @@
   readonly sha256: string;
 }
 
-/** Tells who presents an `authorization` header; null where nobody known. */
+/** Returns the operator for an `authorization` header; null if unknown. */
 export type Authenticate = (header: string | undefined) => Operator | null;
 
 const DIGEST = /^[0-9a-f]{64}$/i;
@@ -26,9 +26,9 @@
 const RANK: Readonly<Record<Role, number>> = {viewer: 0, publisher: 1};
 
 /**
- * Compares presented tokens with the known ones. Digests are compared in
- * constant time and all of them each time, so that the time an answer takes
- * tells nothing of a token. Throws on a malformed digest.
+ * Creates a function that authenticates operators by bearer token. It compares
+ * every digest, each in constant time, so that the response time reveals
+ * nothing about the tokens. Throws on a malformed digest.
  *
  * @example
  * ```ts
@@ -57,13 +57,13 @@
   };
 }
 
-/** Whether the operator may do what needs `role`. */
+/** Whether the operator has the permissions of `role`. */
 export function hasRole(operator: Operator, role: Role): boolean {
   return RANK[operator.role] >= RANK[role];
 }
 
 /**
- * The digest of a token as the settings hold it.
+ * The digest of a token in the format of the settings.
  *
  * @example
  * ```ts
--- a/packages/base/src/address.ts
+++ b/packages/base/src/address.ts
@@ -1,6 +1,6 @@
 import {isIP, isIPv6} from 'node:net';
 
-/** An address by IP number. */
+/** A numeric IP address and a port. */
 export interface IpAddress {
   readonly ip: string;
   readonly port: number;
@@ -10,8 +10,8 @@
 const UNSPECIFIED = new Set(['0.0.0.0', '::']);
 
 /**
- * Reads `ip:port` or `[ip6]:port`; null for anything else, host names too.
- * Port 0 (any free port) is taken.
+ * Parses `ip:port` or `[ip6]:port`; null for anything else, including host
+ * names. Port 0 (any free port) is accepted.
  *
  * @example
  * ```ts
@@ -30,12 +30,12 @@
   return isIP(ip) === 4 ? {ip, port} : null;
 }
 
-/** Whether others can connect to it: a port and no wildcard address. */
+/** Whether clients can connect to it: not port 0 or a wildcard address. */
 export function isReachable(address: IpAddress): boolean {
   return address.port !== 0 && !UNSPECIFIED.has(address.ip);
 }
 
-/** One spelling for each address, so that equal ones compare equal. */
+/** The canonical text of an address, so that equal addresses compare equal. */
 export function formatAddress(address: IpAddress): string {
   const {ip, port} = address;
   return isIPv6(ip) ? `[${ip}]:${port}` : `${ip}:${port}`;
--- a/packages/base/src/cancel.ts
+++ b/packages/base/src/cancel.ts
@@ -1,6 +1,6 @@
 /**
- * Tells that something was given up. Every `AbortSignal` is one; a request
- * asks no more of its own.
+ * Signals that an operation was cancelled: the part of `AbortSignal` that
+ * requests use.
  */
 export interface CancelSignal {
   readonly aborted: boolean;
@@ -8,18 +8,19 @@
   removeEventListener(type: 'abort', listener: () => void): void;
 }
 
-/** Gives something up, once; an `AbortController` is one. */
+/** Cancels an operation; the part of `AbortController` that requests use. */
 export interface Canceller {
   readonly signal: CancelSignal;
   abort(): void;
 }
 
 /**
- * Makes a canceller, for what is made anew with each request: an
- * `AbortController` with its listeners took some 7 % of a small request's
- * time in each router. It behaves alike: listeners are called in their order,
- * once each, those removed meanwhile are left out, and an exception of one
- * ends the process without keeping the others from being called.
+ * Creates a lightweight canceller for use in each request: an `AbortController`
+ * with its listeners took about 7 % of the time of a small request in each
+ * router. It behaves the same: listeners are called once each, in the order in
+ * which they were added; those removed meanwhile are skipped; and an exception
+ * in a listener doesn't stop the others, but is thrown as an uncaught
+ * exception, which ends the process.
  *
  * @example
  * ```ts
--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -3,17 +3,17 @@
 /** Cancels a timer; calling it again does nothing. */
 export type CancelTimer = () => void;
 
-/** Monotonic time and timers, injected so that tests can drive them. */
+/** Monotonic time and timers, injected so that tests can control them. */
 export interface Clock {
-  /** Monotonic time in ms; only differences mean anything. */
+  /** Monotonic time in ms; only differences are meaningful. */
   now(): number;
   /** Runs `task` once after `ms`. */
   after(ms: number, task: () => void): CancelTimer;
 }
 
 /**
- * The process's clock. It looks the globals up at each call, so that
- * `t.clock` of the tests takes effect.
+ * Creates a clock from the process's globals. It looks them up at each call, so
+ * that tests can replace them with `t.clock`.
  *
  * @example
  * ```ts
@@ -32,8 +32,8 @@
 }
 
 /**
- * Resolves after `ms`, or at once when `signal` aborts; never rejects.
- * Callers look at the signal afterwards.
+ * Resolves after `ms`, or as soon as `signal` aborts; never rejects. The caller
+ * checks the signal afterwards.
  *
  * @example
  * ```ts
--- a/packages/base/src/failure.ts
+++ b/packages/base/src/failure.ts
@@ -1,6 +1,6 @@
 import type {Verdict} from './verdict.js';
 
-/** Stable codes of failures, shown to callers as they are. */
+/** Stable failure codes; part of the responses to callers. */
 export type FailureCode =
   | 'bad-request'
   | 'unknown-service'
@@ -19,18 +19,18 @@
   | 'stopping'
   | 'internal';
 
-/** Why a request failed, and whether it may have run. */
+/** Why a request failed, and whether it may have been executed. */
 export interface Failure {
   readonly verdict: Verdict;
   readonly code: FailureCode;
-  /** One line for people; never parsed. */
+  /** One line for humans; never parsed. */
   readonly detail: string;
-  /** When the caller should come back, in ms; absent where it won't help. */
+  /** Delay before a retry, in ms; absent if a retry won't help. */
   readonly retryAfterMs?: number;
 }
 
 /**
- * A failure as an exception, for iterators of bodies, which can only throw.
+ * A failure as an exception, for body iterators, which can only throw.
  *
  * @example
  * ```ts
@@ -45,7 +45,7 @@
 }
 
 /**
- * Makes a failure.
+ * Creates a failure.
  *
  * @example
  * ```ts
--- a/packages/base/src/hash.ts
+++ b/packages/base/src/hash.ts
@@ -6,7 +6,7 @@
 const HASH_RANGE = 2 ** 32;
 
 /**
- * A 32-bit hash of a text, alike in every process.
+ * A 32-bit hash of a string, the same in every process.
  *
  * @example
  * ```ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * The index of the hash range that a key falls into, of `count` equal ones.
+ * The index of the hash range that contains a key, of `count` equal ranges.
  *
  * @example
  * ```ts
@@ -29,12 +29,12 @@
   return Math.floor((hash32(key) / HASH_RANGE) * count);
 }
 
-/** The shard of a key that is no shard of its own. */
+/** The range shard of a key; a hot key may have its own shard instead. */
 export function shardOfKey(key: string, shards: number): ShardId {
   return String(rangeOf(key, shards));
 }
 
-/** The cell that a range shard belongs to; cells hold adjacent ranges. */
+/** The cell of a range shard; each cell contains adjacent ranges. */
 export function cellOfShard(
   service: string,
   shard: number,
@@ -44,7 +44,6 @@
   return `${service}/${Math.floor((shard * cells) / shards)}`;
 }
 
-/** The cell of a key. */
 export function cellOfKey(
   service: string,
   key: string,
@@ -55,7 +54,8 @@
 }
 
 /**
- * Rendezvous weight of a candidate for an item; the highest wins.
+ * Rendezvous hashing: the weight of a candidate for an item. The candidate with
+ * the highest weight is selected.
  *
  * @example
  * ```ts
--- a/packages/base/src/ids.ts
+++ b/packages/base/src/ids.ts
@@ -3,26 +3,29 @@
 /** `service/index`, such as `holds/0`. */
 export type CellId = string;
 
-/** A hash range's index (`'12'`), or a hot key on its own (`'k:ward-7'`). */
+/**
+ * A hash range's index (`'12'`), or a hot key that has a shard of its own
+ * (`'k:ward-7'`).
+ */
 export type ShardId = string;
 
 /** A position in the platform's log. */
 export type Offset = number;
 
 /**
- * One run of a router process. A restarted process remembers nothing, so it
- * counts as another, though its host and address are the same.
+ * One lifetime of a router process. A restarted process has lost its state, so
+ * it is a new incarnation even at the same host and address.
  */
 export interface Incarnation {
   readonly host: string;
-  /** `ip:port` of its interface for other routers. */
+  /** `ip:port` that it listens on for other routers. */
   readonly address: string;
-  /** Random for each run. */
+  /** Random id, generated at each start. */
   readonly boot: string;
   readonly dataCentre: string;
 }
 
-/** A fencing token; compared by epoch, then by sequence. */
+/** A fencing token; ordered by epoch, then by sequence. */
 export interface Fence {
   readonly epoch: Offset;
   readonly sequence: number;
@@ -31,8 +34,8 @@
 const ID_BYTES = 8;
 const IDS_PER_POOL = 512;
 
-// One call for many ids: a call for each took some 6 % of the time of a
-// small request at the callers' interface.
+// Random bytes for many ids are generated at once: one call per id took about
+// 6 % of the time of a small request at the frontend.
 let pool = Buffer.alloc(0);
 let poolUsed = 0;
 
@@ -46,12 +49,12 @@
   return pool.toString('hex', poolUsed - ID_BYTES, poolUsed);
 }
 
-/** Below 0 where `a` is older than `b`, 0 where equal. */
+/** Negative if `a` is older than `b`, 0 if they are equal. */
 export function compareFences(a: Fence, b: Fence): number {
   return a.epoch - b.epoch || a.sequence - b.sequence;
 }
 
-/** Whether both name the same run of a process. */
+/** Whether both are the same lifetime of a process, or both null. */
 export function isSameIncarnation(
   a: Incarnation | null,
   b: Incarnation | null,
--- a/packages/base/src/listen.ts
+++ b/packages/base/src/listen.ts
@@ -1,15 +1,15 @@
 import type {Server} from 'node:net';
 
-/** Where a server listens. */
+/** Address that a server listens on. */
 export interface ListenOptions {
   readonly ip: string;
   readonly port: number;
-  /** Connections that may wait to be accepted; the platform's, if left out. */
+  /** Maximum number of pending connections; Node's default if omitted. */
   readonly backlog?: number;
 }
 
 /**
- * Starts listening; rejects where the address cannot be had.
+ * Starts listening; rejects if the server can't bind to the address.
  *
  * @example
  * ```ts
--- a/packages/base/src/logger.ts
+++ b/packages/base/src/logger.ts
@@ -1,11 +1,11 @@
 import loglevel from 'loglevel';
 
-/** Values that go into a log line beside its message. */
+/** Additional fields of a log line. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | null | undefined>
 >;
 
-/** A structured logger: one JSON object a line. */
+/** A structured logger that writes one JSON object per line. */
 export interface Logger {
   debug(message: string, fields?: LogFields): void;
   info(message: string, fields?: LogFields): void;
@@ -17,7 +17,7 @@
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
 /**
- * A logger for one part of the process; all parts share the level.
+ * Creates a logger for one component of the process. All share the log level.
  *
  * @example
  * ```ts
@@ -41,7 +41,7 @@
 }
 
 /**
- * Sets the level of the whole process; may be called at run time.
+ * Sets the log level of the whole process, at any time.
  *
  * @example
  * ```ts
@@ -52,7 +52,7 @@
   loglevel.setLevel(level, false);
 }
 
-/** A logger that drops everything, for tests. */
+/** A logger that discards everything, for tests. */
 export function createSilentLogger(): Logger {
   const drop = (): void => {};
   return {debug: drop, info: drop, warn: drop, error: drop};
--- a/packages/base/src/request.ts
+++ b/packages/base/src/request.ts
@@ -9,42 +9,43 @@
 }
 
 /**
- * A body: whole in one piece where it is small, else streamed once.
- * Iterating a cut body throws a `FailureError`; it never ends as if whole.
+ * A body: one chunk if it is small, else a stream that can be read once. If the
+ * body is truncated, iterating it throws a `FailureError`; the iteration never
+ * ends as if the body were complete.
  */
 export type Body = Uint8Array | AsyncIterable<Uint8Array>;
 
-/** A caller's request, alike on every hop. */
+/** A caller's request; the same on every hop. */
 export interface ServiceRequest {
-  /** Unique for each request; answers are matched by it. */
+  /** Unique per request; correlates responses with requests. */
   readonly id: string;
   readonly service: string;
   readonly key: string;
   readonly method: string;
-  /** What follows the key, with the query: `''`, `'/beds?free=1'`. */
+  /** The rest of the path after the key, with the query: `'/beds?free=1'`. */
   readonly path: string;
   readonly headers: readonly HeaderField[];
   readonly body: Body;
-  /** Monotonic time of this process, in ms, by which the answer is due. */
+  /** Monotonic time of this process, in ms, by which the response is due. */
   readonly deadline: number;
-  /** Not to be repeated: sent to a backend server once at most. */
+  /** Whether it is sent to a backend server at most once, without retries. */
   readonly once: boolean;
-  /** Index into the levels of the rules; 0 goes first. */
+  /** Index into the precedence levels of the rules; 0 is the highest. */
   readonly precedence: number;
-  /** Who asks, for fairness between callers. */
+  /** Identifies the caller, for fairness between callers. */
   readonly caller: string;
-  /** Aborted when the caller gave up. */
+  /** Aborted when the caller cancels the request. */
   readonly signal: CancelSignal;
 }
 
-/** A backend server's answer. */
+/** A backend server's response. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Body;
 }
 
-/** Carries a request one hop on and yields its answer or its failure. */
+/** Forwards a request by one hop; resolves to the response or the failure. */
 export type RequestHandler = (
   req: ServiceRequest,
 ) => Promise<Result<ServiceAnswer, Failure>>;
--- a/packages/base/src/result.ts
+++ b/packages/base/src/result.ts
@@ -1,9 +1,9 @@
 /**
  * Results of calls that can fail, from `ts-results`.
  *
- * The library's CommonJS build hides its named exports from ES modules, so
- * that a direct named import fails at load time; every package imports them
- * from here.
+ * ES modules can't see the named exports of the library's CommonJS build, so a
+ * direct named import fails at load time. All packages import from this module
+ * instead.
  */
 import tsResults from 'ts-results';
 
--- a/packages/base/src/verdict.ts
+++ b/packages/base/src/verdict.ts
@@ -1,8 +1,10 @@
 /**
- * Whether a request that failed may have run on a backend server.
+ * Whether a failed request may have been executed by a backend server.
  *
- * - `not-run`: proved. Nothing was written, or the server refused explicitly.
- * - `may-have-run`: bytes were written and no answer proves the outcome.
- * - `ran`: the server executed it, but the answer cannot be given whole.
+ * - `not-run`: certainly not. Nothing was written to a server, or the server
+ *   refused it explicitly.
+ * - `may-have-run`: bytes were written, and no response shows the outcome.
+ * - `ran`: the server executed it, but its response can't be delivered
+ *   completely.
  */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran';
--- a/packages/base/test/cancel.test.ts
+++ b/packages/base/test/cancel.test.ts
@@ -3,14 +3,15 @@
 
 interface Case {
   readonly name: string;
-  /** Calls `note` in the order that is expected. */
+  /** Calls `note` for each event that it observes. */
   readonly run: (canceller: Canceller, note: (text: string) => void) => void;
+  /** The texts that `note` must be called with, in order. */
   readonly expected: readonly string[];
 }
 
 const CASES: readonly Case[] = [
   {
-    name: 'listeners in their order, each once',
+    name: 'listeners are called once each, in order',
     run({signal, abort}, note) {
       const first = (): void => note('first');
       signal.addEventListener('abort', first);
@@ -22,7 +23,7 @@
     expected: ['first', 'second'],
   },
   {
-    name: 'aborted before the first listener is called',
+    name: 'aborted is set before the first listener is called',
     run({signal, abort}, note) {
       note(String(signal.aborted));
       signal.addEventListener('abort', () => note(String(signal.aborted)));
@@ -31,7 +32,7 @@
     expected: ['false', 'true'],
   },
   {
-    name: 'a removed listener is left out, also meanwhile',
+    name: 'a removed listener is left out, even if removed during abort',
     run({signal, abort}, note) {
       const early = (): void => note('early');
       const late = (): void => note('late');
@@ -47,7 +48,7 @@
     expected: ['remover'],
   },
   {
-    name: 'a listener that removes itself keeps none from its call',
+    name: 'a listener that removes itself keeps none from being called',
     run({signal, abort}, note) {
       const once = (): void => {
         note('once');
@@ -72,7 +73,7 @@
     expected: ['first', 'second'],
   },
   {
-    name: 'a listener that comes too late is never called',
+    name: 'a listener added after abort is never called',
     run({signal, abort}, note) {
       abort();
       signal.addEventListener('abort', () => note('late'));
@@ -83,7 +84,8 @@
   },
 ];
 
-const MAKERS: Readonly<Record<string, () => Canceller>> = {
+/** `AbortController` must pass the same tests. */
+const IMPLEMENTATIONS: Readonly<Record<string, () => Canceller>> = {
   createCanceller,
   AbortController: () => {
     const controller = new AbortController();
@@ -91,30 +93,30 @@
   },
 };
 
-for (const [maker, create] of Object.entries(MAKERS)) {
+for (const [implementation, create] of Object.entries(IMPLEMENTATIONS)) {
   for (const {name, run, expected} of CASES) {
-    void tap.test(`${maker}: ${name}`, async t => {
+    void tap.test(`${implementation}: ${name}`, async t => {
       const notes: string[] = [];
       run(create(), text => notes.push(text));
       t.same(notes, expected);
     });
   }
 
-  // One part of a request fails while it is given up. The others must still
-  // hear of it, else a slot or a stream stays taken; and the fault must not
-  // be swallowed: it reaches the process as an uncaught exception.
-  void tap.test(`${maker}: an exception stops no other`, async t => {
+  // A listener throws while a request is cancelled. The other listeners must
+  // still be called, since they release slots and streams, and the error must
+  // reach the process as an uncaught exception instead of being swallowed.
+  void tap.test(`${implementation}: an exception stops no other`, async t => {
     const thrown = new Promise<unknown>(resolve =>
       process.once('uncaughtException', resolve),
     );
     const {signal, abort} = create();
-    let heard = false;
+    let isCalled = false;
     signal.addEventListener('abort', () => {
       throw new Error('fault of a listener');
     });
-    signal.addEventListener('abort', () => (heard = true));
+    signal.addEventListener('abort', () => (isCalled = true));
     abort();
-    t.equal(heard, true);
+    t.equal(isCalled, true);
     t.match(await thrown, {message: 'fault of a listener'});
   });
 }
