--- a/packages/routing/src/config.ts
+++ b/packages/routing/src/config.ts
@@ -1,41 +1,41 @@
-/** Whether a request may run more than once on the backend servers. */
+/** Whether a request may be executed more than once by backend servers. */
 export type RequestKind = 'idempotent' | 'once';
 
-/** One part of a route's traffic. */
+/** A service that gets a share of a route's traffic. */
 export interface RouteTarget {
   readonly service: string;
-  /** Share of the route's requests, relative to the other targets'. */
+  /** Share of the route's requests, relative to the other targets' weights. */
   readonly weight: number;
 }
 
-/** A route: what callers may ask below one path prefix of one host. */
+/** A route: handles requests below one path prefix of one host. */
 export interface Route {
   readonly name: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** The longest time that a caller is kept waiting, in ms. */
+  /** Maximum time until the caller gets a response, in ms. */
   readonly timeoutMs: number;
-  /** An answer within this time is worth most, in ms. */
+  /** Responses within this time have full value to callers, in ms. */
   readonly targetLatencyMs: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number;
-  /** One or more; their weights add up to more than 0. */
+  /** At least one; the sum of their weights is positive. */
   readonly targets: readonly RouteTarget[];
-  /** Backend servers that one request may be sent to. */
+  /** Maximum number of attempts at backend servers per request. */
   readonly maxAttempts: number;
 }
 
-/** What is the same for all backend servers of a service. */
+/** Properties that all backend servers of a service share. */
 export interface ServiceConfig {
   readonly name: string;
-  /** Connections that each server accepts from all callers together. */
+  /** Connections that each server accepts in total. */
   readonly maxConnections: number;
-  /** Whether each key belongs to one server. */
+  /** Whether each key is owned by one server. */
   readonly isKeyed: boolean;
 }
 
-/** Limits on what callers send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -43,7 +43,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the routing configuration; never changed in place. */
+/** One version of the routing configuration; immutable. */
 export interface RoutingConfig {
   readonly version: number;
   /** Routes by host, in lower case, then by path prefix. */
--- a/packages/routing/src/match-route.ts
+++ b/packages/routing/src/match-route.ts
@@ -1,11 +1,12 @@
 import type {Route, RoutingConfig} from './config.js';
 
 /**
- * The route of a request: among those of its host, the one with the longest
- * prefix that begins the path. Null where there is none.
+ * Finds the route of a request: the one of its host with the longest prefix of
+ * the path. Null if there is none.
  *
- * Prefixes end with a slash, so only the path's own slashes are tried: the
- * cost follows the path's depth, not the number of routes.
+ * Prefixes end with a slash, so only the prefixes of the path that end with one
+ * are looked up. The cost depends on the path's depth, not on the number of
+ * routes.
  *
  * @example
  * ```ts
@@ -29,14 +30,14 @@
   return null;
 }
 
-/** A host's name as configurations have it, without a port. */
+/** The host name in lower case, without the port, as in configurations. */
 export function toHostName(host: string): string {
   const port = host.lastIndexOf(':');
   const name = port > host.lastIndexOf(']') ? host.slice(0, port) : host;
   return name.toLowerCase();
 }
 
-/** A request's path without its query. */
+/** The path of a request target, without query and fragment. */
 export function toPath(target: string): string {
   const end = target.search(/[?#]/);
   return end < 0 ? target : target.slice(0, end);
--- a/packages/routing/src/split.ts
+++ b/packages/routing/src/split.ts
@@ -1,15 +1,16 @@
 import type {Route} from './config.js';
 
-/** Deals a route's requests out to its targets. */
+/** Distributes a route's requests to its targets. */
 export interface Splitter {
-  /** The service that the route's next request goes to. */
+  /** Selects the service for the route's next request. */
   next(route: Route): string;
 }
 
 /**
- * Smooth weighted round robin: after any number of requests each target is
- * within one request of its share, where a random draw strays by the square
- * root of their number and misses narrow bounds on short stretches.
+ * Creates a splitter that uses smooth weighted round robin: after any number of
+ * requests, each target is within one request of its share. Random selection
+ * deviates by the square root of that number, which exceeds narrow bounds over
+ * short periods.
  *
  * @example
  * ```ts
@@ -31,8 +32,8 @@
 }
 
 /**
- * Starts at a random place of the cycle: routers that all began with the
- * first target would send it the first request of each.
+ * Initial weights at a random point of the cycle. Otherwise all routers would
+ * send their first request to the same target.
  */
 function randomStart(route: Route): number[] {
   return route.targets.map(({weight}) => weight * Math.random());
--- a/packages/routing/test/routing.test.ts
+++ b/packages/routing/test/routing.test.ts
@@ -50,7 +50,7 @@
   ['', '/x/', null],
 ];
 
-void tap.test('the longest prefix of the host wins', async t => {
+void tap.test('the longest matching prefix of the host wins', async t => {
   for (const [host, target, expected] of MATCHES) {
     const found = matchRoute(CONFIG, host, target);
     t.equal(found?.pathPrefix ?? null, expected, `${host} ${target}`);
