--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -2,53 +2,53 @@
 import type {ServerLoad, ServerLoads} from './carriers.js';
 import type {Move, PlacedShard, PlanInput, Weights} from './plan.js';
 
-/** Moves of one plan at most: the next plan sees what they came to. */
+/** Maximum moves per plan, so that the next plan can take their effect in. */
 const MAX_MOVES = 8;
 
-/** How long a shard stays after a move, so that two plans don't undo it. */
+/** Minimum time between two moves of a shard, so that it isn't moved back. */
 export const MIN_STAY_MS = 30_000;
 
 /**
- * What moving all shards once would cost, in the unit of imbalance. With equal
- * weights a small shard moves where its server's utilisation is above the
- * receiver's by about an eighth of the mean.
+ * Cost of moving all shards once, in units of imbalance. With equal weights, a
+ * small shard moves if its server's utilization exceeds the receiver's by about
+ * an eighth of the mean.
  */
 const CHURN_COST = 0.12;
 
-/** What stopping the requests of an average shard for a moment costs. */
+/** Cost of an average shard's unavailability during its move. */
 const UNAVAILABLE_COST = 0.12;
 
 /**
- * Requests that pile up behind a shard while it moves grow with its load, and
- * so does the time that they take to be worked off: the cost of its
- * unavailable time grows faster than its load.
+ * Makes the cost of unavailability grow faster than a shard's load: both the
+ * number of requests that queue up during the move and the time to work them
+ * off grow with the load.
  */
 const QUEUEING_COST = 2;
 
 /**
- * How much more it is worth to take a shard off a server that is full. What
- * its requests keep busy can't grow beyond its slots, so that imbalance no
- * longer shows by how much more is asked of it, while it refuses requests.
+ * Factor for the gain of moving a shard off a full server. The measured load of
+ * a server can't exceed its slots, so imbalance doesn't show how much demand
+ * there is beyond them, while the server refuses requests.
  */
 const FULL_SERVER_GAIN = 6;
 
-/** A server is full where its requests keep this share of it busy. */
+/** Utilization from which a server counts as full. */
 const FULL_UTILIZATION = 0.85;
 
-/** A server has room to spare where no more than this is busy. */
+/** Utilization up to which a server counts as having spare capacity. */
 const SPARE_UTILIZATION = 0.65;
 
-/** A shard is hot where it alone takes this share of its server. */
+/** A shard that takes at least this share of its server's capacity is hot. */
 const HOT_SHARD_SHARE = 0.25;
 
-/** Receivers looked at for each move: the emptiest ones. */
+/** Number of least utilized servers that are considered as receivers. */
 const MAX_RECEIVERS = 3;
 
 interface PlannedMove {
   readonly shard: PlacedShard;
   readonly from: ServerLoad;
   readonly to: ServerLoad;
-  /** Imbalance that it takes away less what it costs; above 0. */
+  /** Reduction of imbalance minus the cost of the move; positive. */
   readonly netGain: number;
 }
 
@@ -57,7 +57,7 @@
   readonly netGain: number;
 }
 
-/** What the greedy search works on; carriers' loads change as it goes. */
+/** State of the greedy search; it updates the server loads with each move. */
 interface Search {
   readonly weights: Weights;
   readonly servers: readonly ServerLoad[];
@@ -71,13 +71,13 @@
 }
 
 /**
- * Moves that lessen imbalance by more than they cost in churn and unavailable
- * time. It weighs two plans, one that may move hot shards and one that moves
- * only their neighbours, and takes the better.
+ * Plans moves that reduce imbalance by more than they cost in churn and
+ * unavailability. It compares a plan that may move hot shards with one that
+ * moves only other shards, and returns the better one.
  *
  * @example
  * ```ts
- * const moves = balance(input, createCarriers(input));
+ * const moves = balance(input, createServerLoads(input));
  * ```
  */
 export function balance(
@@ -95,17 +95,20 @@
     coldShards.length < movable.length
       ? searchGreedily(search, coldShards)
       : withHotShards;
-  const best = withoutHotShards.netGain > withHotShards.netGain ? withoutHotShards : withHotShards;
-  return best.moves.map(step => toMove(step, search));
+  const best =
+    withoutHotShards.netGain > withHotShards.netGain
+      ? withoutHotShards
+      : withHotShards;
+  return best.moves.map(move => toMove(move, search));
 }
 
 /**
- * Imbalance of utilisation: its mean squared deviation from the mean, by the
- * mean. 0 where all servers are filled alike.
+ * Imbalance of the servers' utilization: the mean squared relative deviation
+ * from the mean, weighted by capacity. 0 if all are equally utilized.
  *
  * @example
  * ```ts
- * imbalanceOf([...carriers.byName.values()]);
+ * imbalanceOf([...servers.byName.values()]);
  * ```
  */
 export function imbalanceOf(servers: readonly ServerLoad[]): number {
@@ -156,7 +159,7 @@
     moves.push(move);
   }
   for (const {shard, from, to} of moves) search.move(shard, to, from);
-  return {moves: moves, netGain: sum(moves, ({netGain: net}) => net)};
+  return {moves, netGain: sum(moves, ({netGain}) => netGain)};
 }
 
 function findBestMove(
@@ -175,18 +178,18 @@
       if (to === from || !hasRoom(search, shard, to)) continue;
       if (!search.isAllowed(from, to)) continue;
       const netGain = netGainOf(search, shard, from, to);
-      if (netGain > (best?.netGain ?? 0)) best = {shard, from, to, netGain: netGain};
+      if (netGain > (best?.netGain ?? 0)) best = {shard, from, to, netGain};
     }
   }
   return best;
 }
 
-/** A server that starts slowly is filled only as far as it is ready. */
+/** Whether a server in slow start stays within its usable capacity. */
 function hasRoom(search: Search, shard: PlacedShard, to: ServerLoad): boolean {
-  const {candidate, usableCapacity: room, weight: load} = to;
+  const {candidate, usableCapacity, weight} = to;
   if (candidate.readiness >= 1) return true;
   const mean = search.totalWeight / search.totalCapacity;
-  return load + search.weightOf(shard) <= room * mean;
+  return weight + search.weightOf(shard) <= usableCapacity * mean;
 }
 
 function netGainOf(
@@ -209,7 +212,7 @@
   return busy <= candidate.capacity * SPARE_UTILIZATION;
 }
 
-/** By how much the move lessens `imbalanceOf`. */
+/** By how much the move reduces `imbalanceOf`. */
 function imbalanceReduction(
   search: Search,
   weight: number,
@@ -219,16 +222,20 @@
   const {totalCapacity, totalWeight} = search;
   const mean = totalWeight / totalCapacity;
   if (!(mean > 0)) return 0;
-  const part = (server: ServerLoad, load: number): number => {
+  const term = (server: ServerLoad, load: number): number => {
     const {capacity} = server.candidate;
     return (capacity / totalCapacity) * (load / capacity / mean - 1) ** 2;
   };
-  const before = part(from, from.weight) + part(to, to.weight);
-  const after = part(from, from.weight - weight) + part(to, to.weight + weight);
+  const before = term(from, from.weight) + term(to, to.weight);
+  const after = term(from, from.weight - weight) + term(to, to.weight + weight);
   return before - after;
 }
 
-function moveCost(search: Search, shard: PlacedShard, from: ServerLoad): number {
+function moveCost(
+  search: Search,
+  shard: PlacedShard,
+  from: ServerLoad,
+): number {
   const {weights, count, totalLoad} = search;
   const churn = CHURN_COST / Math.max(1, count);
   const share = totalLoad > 0 ? shard.load / totalLoad : 0;
--- a/packages/placement/src/calm.ts
+++ b/packages/placement/src/calm.ts
@@ -1,43 +1,46 @@
 import type {ServerLoad, ServerLoads} from './carriers.js';
 
-/** Whether a shard may go from one server to another for balance. */
+/** Whether a shard may move from one server to another for balance. */
 export type MoveFilter = (
   from: ServerLoad,
   to: ServerLoad,
-  carriers: ServerLoads,
+  servers: ServerLoads,
 ) => boolean;
 
 /**
- * A server that is less busy than this share of its capacity gives nothing
- * away for its load: its requests hardly wait, and a move stops them.
+ * No shard leaves a server for its load below this utilization: its requests
+ * hardly wait, and a move would interrupt them.
  */
 const MIN_DONOR_UTILIZATION = 0.3;
 
-/** The least gap between two servers' utilisation that is worth a move. */
+/** Minimum difference of two servers' utilization that justifies a move. */
 const MIN_UTILIZATION_GAP = 0.1;
 
-/** A gap is clear from so many standard errors on. */
+/** Number of standard errors from which a difference is significant. */
 const MIN_STANDARD_ERRORS = 3;
 
 /**
- * Over how long a load is averaged, as far as its variance goes: twice the
- * time constants of the meter (10 s) and of the smoothing (7 s) together.
+ * Effective averaging window of a load for its variance: twice the sum of the
+ * time constants of the meter (10 s) and of the smoothing (7 s).
  */
 const AVERAGING_WINDOW_MS = 34_000;
 
-/** A server short of shards has less than this part of its fair share. */
+/** A server with less than this part of its fair share has too few shards. */
 const TOO_FEW_SHARE = 0.5;
 
-/** A server is crowded with more than this many times its fair share. */
+/** A server with more than this multiple of its share has too many shards. */
 const TOO_MANY_FACTOR = 2;
 
 /**
- * Whether the load of two servers differs clearly: the giver is really busy,
- * and the gap is more than requests that come and last at random explain.
- * Loads of a service that is hardly used are all chance: moving its shards
- * after them went on for ever.
+ * Whether the loads of two servers differ significantly: the donor is busy, and
+ * the difference is larger than random arrivals and service times explain. The
+ * loads of a rarely used service are mostly noise, and following them moved its
+ * shards back and forth without end.
  */
-export function isImbalanceSignificant(from: ServerLoad, to: ServerLoad): boolean {
+export function isImbalanceSignificant(
+  from: ServerLoad,
+  to: ServerLoad,
+): boolean {
   if (utilization(from) < MIN_DONOR_UTILIZATION) return false;
   const gap = utilization(from) - utilization(to);
   const error = Math.sqrt(variance(from) + variance(to));
@@ -45,42 +48,48 @@
 }
 
 /**
- * Whether a server has so few shards that it must have come after the
- * others. Their number is no matter of chance. One that is busy all the same
- * has few shards because they are heavy.
+ * Whether a server has so few shards that it must have joined after the others.
+ * Unlike its load, the number of its shards is not random. A server that is
+ * busy nevertheless has few shards because they are heavy.
  */
-export function hasTooFew(to: ServerLoad, carriers: ServerLoads): boolean {
-  const all = [...carriers.byName.values()];
+export function hasTooFew(to: ServerLoad, servers: ServerLoads): boolean {
+  const all = [...servers.byName.values()];
   const capacity = sum(all, ({candidate}) => candidate.capacity);
-  const fair = fairShardCount(to, carriers);
+  const fair = fairShardCount(to, servers);
   const mean = sum(all, ({busy}) => busy) / capacity;
   return to.shardCount < fair * TOO_FEW_SHARE && utilization(to) <= mean;
 }
 
-/** Whether a server has more than twice its fair share of the shards. */
-export function hasTooMany(from: ServerLoad, carriers: ServerLoads): boolean {
-  return from.shardCount > fairShardCount(from, carriers) * TOO_MANY_FACTOR;
+/** Whether a server has more than twice its fair share of shards. */
+export function hasTooMany(from: ServerLoad, servers: ServerLoads): boolean {
+  return from.shardCount > fairShardCount(from, servers) * TOO_MANY_FACTOR;
 }
 
-function fairShardCount({usableCapacity: room}: ServerLoad, {byName}: ServerLoads): number {
+function fairShardCount(
+  {usableCapacity}: ServerLoad,
+  {byName}: ServerLoads,
+): number {
   const all = [...byName.values()];
-  const total = sum(all, carrier => carrier.usableCapacity);
-  return (sum(all, ({shardCount: count}) => count) * room) / total;
+  const total = sum(all, server => server.usableCapacity);
+  return (sum(all, ({shardCount}) => shardCount) * usableCapacity) / total;
 }
 
 function utilization({busy, candidate}: ServerLoad): number {
   return busy / candidate.capacity;
 }
 
-/** Of the utilisation, for exponential service times and Poisson arrivals. */
+/**
+ * Variance of the utilization, for Poisson arrivals and exponential service
+ * times.
+ */
 function variance({busy, candidate}: ServerLoad): number {
   const {capacity, serviceMs = 0} = candidate;
   return (2 * busy * serviceMs) / AVERAGING_WINDOW_MS / capacity ** 2;
 }
 
 function sum(
-  carriers: readonly ServerLoad[],
-  value: (carrier: ServerLoad) => number,
+  servers: readonly ServerLoad[],
+  value: (server: ServerLoad) => number,
 ): number {
-  return carriers.reduce((total, carrier) => total + value(carrier), 0);
+  return servers.reduce((total, server) => total + value(server), 0);
 }
--- a/packages/placement/src/capacity.ts
+++ b/packages/placement/src/capacity.ts
@@ -1,4 +1,4 @@
-/** What a leader saw of a server over the last period. */
+/** What a leader observed of a server over the last period. */
 export interface ServerObservation {
   readonly slots: number;
   /** Slots kept busy on average. */
@@ -7,30 +7,32 @@
   readonly shed: number;
 }
 
-/** How many slots a server proved able to keep busy. */
+/** Estimates how many of its slots a server can keep busy. */
 export interface CapacityEstimate {
-  /** Notes a period; yields the estimate, above 0 and at most `slots`. */
+  /** Adds a period; returns the estimate, above 0 and at most `slots`. */
   update(sight: ServerObservation, periodMs: number): number;
 }
 
-/** Below the load at which it refused, so that it needn't refuse again. */
+/** Sets the estimate below the load at which the server refused requests. */
 const BACK_OFF_FACTOR = 0.9;
 
-/** Share of its slots that it gets back in a second without refusals. */
+/**
+ * Share of the slots by which the estimate rises per second without refusals.
+ */
 const RECOVERY_PER_SECOND = 0.02;
 
-/** The least share of its slots that a server counts with. */
+/** Lower bound of the estimate, as a share of the slots. */
 const MIN_SHARE = 0.1;
 
 /**
- * Estimates a server's capacity from what it does, not from what it says: it
- * falls below the load at which the server refuses requests, and rises
- * slowly while it refuses none.
+ * Estimates a server's capacity from its behaviour instead of its reported
+ * slots. The estimate falls below the load at which the server refuses
+ * requests, and rises slowly while it refuses none.
  *
  * @example
  * ```ts
  * const estimate = createCapacityEstimate();
- * estimate.note({slots: 4, busy: 2, shed: 3}, 1000); // 1.8
+ * estimate.update({slots: 4, busy: 2, shed: 3}, 1000); // 1.8
  * ```
  */
 export function createCapacityEstimate(): CapacityEstimate {
--- a/packages/placement/src/carriers.ts
+++ b/packages/placement/src/carriers.ts
@@ -1,41 +1,43 @@
 import type {Candidate, PlacedShard, PlanInput} from './plan.js';
 
-/** What one server carries while a plan is being made. */
+/** Load of one server, updated while a plan is being made. */
 export interface ServerLoad {
   readonly candidate: Candidate;
-  /** Slots that it may be given: its capacity, as far as it is ready. */
+  /** Capacity in slots, multiplied by the readiness. */
   readonly usableCapacity: number;
-  /** Weight of its shards. */
+  /** Total weight of its shards. */
   weight: number;
-  /** Slots that its shards keep busy. */
+  /** Number of slots that its shards keep busy. */
   busy: number;
-  /** How many shards it has. */
   shardCount: number;
 }
 
-/** All servers of a plan. */
+/** Loads of all servers of a plan. */
 export interface ServerLoads {
   readonly byName: ReadonlyMap<string, ServerLoad>;
-  /** The weight that a shard counts with, in slots. */
+  /** The weight of a shard, in slots: its load plus a base load. */
   weightOf(shard: PlacedShard): number;
-  /** Counts a shard at another server; null is no server. */
-  move(shard: PlacedShard, from: ServerLoad | null, to: ServerLoad | null): void;
+  /** Moves a shard's load from one server to another; null is no server. */
+  move(
+    shard: PlacedShard,
+    from: ServerLoad | null,
+    to: ServerLoad | null,
+  ): void;
 }
 
 /**
- * Each shard counts as some load even while nobody asks for it, so that an
- * idle cell spreads its shards too: all of them together as this share of the
- * servers' capacity.
+ * Base load of all shards together, as a share of the servers' capacity. It
+ * gives idle shards a weight, so that those of an idle cell are spread as well.
  */
 const BASE_UTILIZATION = 0.25;
 
 /**
- * The servers of a plan with what they carry now.
+ * Computes the current loads of the servers of a plan.
  *
  * @example
  * ```ts
- * const carriers = createCarriers(input);
- * carriers.byName.get('bed-3')?.load;
+ * const servers = createServerLoads(input);
+ * servers.byName.get('bed-3')?.weight;
  * ```
  */
 export function createServerLoads(input: PlanInput): ServerLoads {
@@ -45,8 +47,14 @@
   const weightOf = (shard: PlacedShard): number => shard.load + base;
   const byName = new Map<string, ServerLoad>();
   for (const candidate of candidates) {
-    const room = candidate.capacity * candidate.readiness;
-    byName.set(candidate.name, {candidate, usableCapacity: room, weight: 0, busy: 0, shardCount: 0});
+    const usableCapacity = candidate.capacity * candidate.readiness;
+    byName.set(candidate.name, {
+      candidate,
+      usableCapacity,
+      weight: 0,
+      busy: 0,
+      shardCount: 0,
+    });
   }
   const count = (server: ServerLoad, shard: PlacedShard, by: 1 | -1): void => {
     server.weight += by * weightOf(shard);
--- a/packages/placement/src/hot-keys.ts
+++ b/packages/placement/src/hot-keys.ts
@@ -1,51 +1,52 @@
-/** A key that is asked for often. */
+/** A frequently requested key. */
 export interface CountedKey {
   readonly key: string;
-  /** Weight over the last while, at most `error` too high. */
+  /** Decayed weight; overestimated by `error` at most. */
   readonly weight: number;
   readonly error: number;
-  /** Times that it was surely counted over the last while. */
+  /** Decayed count since the key entered the sketch; a lower bound. */
   readonly count: number;
 }
 
-/** Finds the keys that are asked for most, in bounded memory. */
+/** Finds the most frequent keys, in bounded memory. */
 export interface HotKeySketch {
-  /** Counts a key, at a monotonic time in ms that never goes back. */
+  /** Counts a key; `now` is a monotonic time in ms. */
   add(key: string, now: number, weight?: number): void;
-  /** The heaviest keys, the heaviest first. */
+  /** The keys with the highest weights, in descending order. */
   top(count: number, now: number): readonly CountedKey[];
-  /** Weight of all keys over the last while. */
+  /** Decayed weight of all keys. */
   total(now: number): number;
   size(): number;
 }
 
 export interface HotKeyOptions {
-  /** Keys remembered at most. */
+  /** Maximum number of keys tracked. */
   readonly capacity: number;
-  /** After this time a count is worth half. */
+  /** Time after which a count has decayed to half. */
   readonly halfLifeMs: number;
 }
 
 interface Counter {
   key: string;
-  /** In units that grow with time, so that old counts fade by themselves. */
+  /** In units that grow with time, so that old weights decay relatively. */
   weight: number;
   error: number;
   count: number;
-  /** Its place in the heap. */
+
   heapIndex: number;
 }
 
-/** Units are brought back to size before they lose precision. */
+/** Weights are rescaled at this unit, before they lose precision. */
 const MAX_UNIT = 2 ** 40;
 
 /**
- * Makes a space-saving sketch with fading counts. A key that is new to a full
- * sketch takes the place, and the count, of the lightest one: a key whose
- * share of all weight is above 1 / capacity is always in it.
+ * Creates a Space-Saving sketch with exponential decay. If the sketch is full,
+ * a new key replaces the key with the lowest weight and inherits that weight. A
+ * key with a share of more than 1 / capacity of the total weight is always in
+ * the sketch.
  *
- * Counts fade by letting the unit of new counts grow, so that a count costs
- * one step through a heap and nothing is swept over.
+ * To decay, the unit of new weights grows instead of old weights being reduced.
+ * Adding a key costs one heap update, without a sweep over all counters.
  *
  * @example
  * ```ts
@@ -57,7 +58,7 @@
 export function createHotKeySketch(options: HotKeyOptions): HotKeySketch {
   const {capacity, halfLifeMs} = options;
   const counters = new Map<string, Counter>();
-  /** A heap with the lightest counter first. */
+  /** A min-heap by weight. */
   const heap: Counter[] = [];
   let origin = 0;
   let total = 0;
--- a/packages/placement/src/place-orphans.ts
+++ b/packages/placement/src/place-orphans.ts
@@ -3,21 +3,23 @@
 import type {Move, PlacedShard} from './plan.js';
 
 /**
- * Finds a place for each shard that has none: nobody owns it, or its server
- * may be given nothing any more. The heaviest goes first, each to the server
- * that it fills least. Adds what it places to the carriers' load. Empty where
- * no server may be given anything.
+ * Assigns a server to each shard that needs one: it has no owner, or its server
+ * must not have shards any more. Shards with the highest load are placed first,
+ * each on the server that is least utilized with it. Updates the server loads.
+ * Returns no moves if no server can take shards.
  *
  * @example
  * ```ts
- * const moves = placeOrphans(input.shards, carriers);
+ * const moves = placeUnassigned(input.shards, servers);
  * ```
  */
 export function placeUnassigned(
   shards: readonly PlacedShard[],
   servers: ServerLoads,
 ): readonly Move[] {
-  const receivers = [...servers.byName.values()].filter(c => c.usableCapacity > 0);
+  const receivers = [...servers.byName.values()].filter(
+    c => c.usableCapacity > 0,
+  );
   if (receivers.length === 0) return [];
   return shards
     .filter(shard => !isPlaced(shard, servers))
@@ -57,7 +59,9 @@
   a: ServerLoad,
   b: ServerLoad,
 ): boolean {
-  const difference = (a.weight + weight) / a.usableCapacity - (b.weight + weight) / b.usableCapacity;
+  const difference =
+    (a.weight + weight) / a.usableCapacity -
+    (b.weight + weight) / b.usableCapacity;
   if (Math.abs(difference) > 1e-9) return difference < 0;
   return (
     rendezvousWeight(shard, a.candidate.name) >
--- a/packages/placement/src/plan-moves.ts
+++ b/packages/placement/src/plan-moves.ts
@@ -5,9 +5,9 @@
 import type {Move, PlanInput} from './plan.js';
 
 /**
- * Plans which shards should go where: first those that have to move, then
- * those whose move is worth more than it costs, between servers that
- * `mayMove` allows. The same input yields the same plan.
+ * Plans moves of shards: first the forced moves, then moves for balance that
+ * gain more than they cost, between servers for which `isAllowed` is true. The
+ * plan is deterministic and independent of the order of the input.
  *
  * @example
  * ```ts
@@ -27,8 +27,8 @@
 }
 
 /**
- * Plans only what has to move: shards that nobody owns, and those of servers
- * that may be given nothing any more.
+ * Plans only the forced moves: of shards without an owner, and of shards whose
+ * server must not have shards any more.
  *
  * @example
  * ```ts
@@ -39,7 +39,7 @@
   return placeUnassigned(input.shards, createServerLoads(input));
 }
 
-/** Ties are decided by order, which must not depend on the caller's. */
+/** Sorts the input: ties are broken by order, which must be deterministic. */
 function sortInput(input: PlanInput): PlanInput {
   return {
     ...input,
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -4,26 +4,26 @@
 export interface Candidate {
   readonly name: string;
   readonly slots: number;
-  /** Share of its slots that it may be given, 0 to 1: slow start, drain. */
+  /** Usable share of its slots, 0 to 1: lower during slow start or a drain. */
   readonly readiness: number;
-  /** Slots that it proved able to keep busy; at most `slots`. */
+  /** Estimated number of slots that it can keep busy; at most `slots`. */
   readonly capacity: number;
-  /** Slots kept busy by its shards, by the leader's own count. */
+  /** Slots kept busy by its shards, as measured by the leader. */
   readonly busy: number;
-  /** Mean time that a request keeps a slot busy, in ms; 0 if not known. */
+  /** Mean time for which a request keeps a slot busy, in ms; 0 if unknown. */
   readonly serviceMs?: number;
 }
 
-/** A shard and where it is. */
+/** A shard and its current server. */
 export interface PlacedShard {
   readonly shard: ShardId;
-  /** Null where nobody owns it. */
+  /** Null if the shard has no owner. */
   readonly server: string | null;
-  /** Slots that it keeps busy. */
+  /** Number of slots that it keeps busy. */
   readonly load: number;
   /** Monotonic time in ms of its last move. */
   readonly movedAt: number;
-  /** It counts, but can't be moved now. */
+  /** The shard counts as load, but can't be moved now. */
   readonly pinned?: boolean;
 }
 
@@ -40,11 +40,11 @@
   readonly weights: Weights;
 }
 
-/** One shard's way to another server. */
+/** A planned move of a shard to another server. */
 export interface Move {
   readonly shard: ShardId;
   readonly from: string | null;
   readonly to: string;
-  /** For operators: what the move is good for. */
+  /** Why the shard is moved, for operators. */
   readonly reason: string;
 }
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,36 +1,40 @@
 import {hasTooMany, isImbalanceSignificant, hasTooFew} from './calm.js';
-import {type ServerLoad, type ServerLoads, createServerLoads} from './carriers.js';
+import {
+  type ServerLoad,
+  type ServerLoads,
+  createServerLoads,
+} from './carriers.js';
 import type {Move, PlanInput} from './plan.js';
 import {planMoves} from './plan-moves.js';
 
-/** Plans one cell's moves again and again, and remembers what it saw. */
+/** Plans moves of one cell repeatedly; keeps state between plans. */
 export interface Planner {
   plan(input: PlanInput): readonly Move[];
 }
 
 /**
- * How long a server must be clearly busier before it gives shards away: three
- * times as long as loads are averaged over, so that hardly anything is left
- * of what a server's standing still for some seconds added.
+ * Time for which a server must be significantly busier before shards move off
+ * it. It is three times the averaging time of loads, so that a stall of some
+ * seconds has hardly any effect left.
  */
 export const SUSTAIN_MS = 30_000;
 
-/** From this share of its capacity on, a server's requests wait for long. */
+/** Utilization from which the requests of a server wait for long. */
 const HIGH_UTILIZATION = 0.6;
 
-/** A server that is nearly full gives shards away after half that time. */
+/** Shards move off a highly utilized server after half of that time. */
 const HIGH_UTILIZATION_SUSTAIN_MS = SUSTAIN_MS / 2;
 
-/** How long a server must be short of shards before it gets some. */
+/** Time for which a server must have too few shards before it gets some. */
 const TOO_FEW_MS = 5000;
 
 /**
- * Makes the planner of one leadership. For balance it moves shards only off
- * a server that was clearly busier in every plan for 30 s
- * (15 s where it is nearly full), or to one that
- * was short of shards for 5 s; what has to move, moves at once. A short
- * stall of a server thus moves nothing. A new leader has a new planner and
- * loads averaged over hardly any time: it waits until it knows.
+ * Creates the planner for one term of a leader. For balance it moves shards
+ * only off a server that was significantly busier in every plan for 30 s (15 s
+ * if it is highly utilized), or to a server that had too few shards for 5 s.
+ * Forced moves are planned at once. As a result, a short stall of a server
+ * moves nothing, and a new leader, whose loads are averaged over hardly any
+ * time, waits until they are reliable.
  *
  * @example
  * ```ts
@@ -42,10 +46,12 @@
   const overloadedSince = new Map<string, number>();
   const tooFewSince = new Map<string, number>();
 
-  const updateConditions = (carriers: ServerLoads, now: number): void => {
-    const all = [...carriers.byName.values()];
-    const donors = all.filter(from => all.some(to => isImbalanceSignificant(from, to)));
-    const receivers = all.filter(to => hasTooFew(to, carriers));
+  const updateConditions = (servers: ServerLoads, now: number): void => {
+    const all = [...servers.byName.values()];
+    const donors = all.filter(from =>
+      all.some(to => isImbalanceSignificant(from, to)),
+    );
+    const receivers = all.filter(to => hasTooFew(to, servers));
     updateSince(overloadedSince, donors, now);
     updateSince(tooFewSince, receivers, now);
   };
@@ -60,23 +66,26 @@
   return {
     plan(input) {
       const {now} = input;
-      const carriers = createServerLoads(input);
-      updateConditions(carriers, now);
-      return planMoves(freeExcessShards(input, carriers), (from, to, carriers) => {
+      const servers = createServerLoads(input);
+      updateConditions(servers, now);
+      return planMoves(freeExcessShards(input, servers), (from, to, loads) => {
         const ms = requiredSustainMs(from);
-        if (lasts(overloadedSince, from, now, ms) && isImbalanceSignificant(from, to)) {
+        if (
+          lasts(overloadedSince, from, now, ms) &&
+          isImbalanceSignificant(from, to)
+        ) {
           return true;
         }
-        return lasts(tooFewSince, to, now, TOO_FEW_MS) && hasTooFew(to, carriers);
+        return lasts(tooFewSince, to, now, TOO_FEW_MS) && hasTooFew(to, loads);
       });
     },
   };
 }
 
 /**
- * Lets shards of a crowded server move again at once. After all servers were
- * lost together the first to come back gets every shard, and would keep them
- * for as long as moved shards stay, refusing most of what is asked.
+ * Allows shards of a server with too many to move again at once. After all
+ * servers were lost together, the first one to return gets every shard. It
+ * would keep them for `MIN_STAY_MS` and refuse most requests.
  */
 function freeExcessShards(input: PlanInput, servers: ServerLoads): PlanInput {
   const isExcess = (server: string | null): boolean => {
@@ -94,7 +103,7 @@
   return isFull ? HIGH_UTILIZATION_SUSTAIN_MS : SUSTAIN_MS;
 }
 
-/** Keeps since when each has been so, without a break. */
+/** Tracks since when each server has been in the list without interruption. */
 function updateSince(
   since: Map<string, number>,
   servers: readonly ServerLoad[],
--- a/packages/placement/src/smooth-loads.ts
+++ b/packages/placement/src/smooth-loads.ts
@@ -1,25 +1,25 @@
 import type {ShardId} from '@banyandrum/base/ids.js';
 
-/** Loads of shards, averaged over time. */
+/** Loads of shards, smoothed over time. */
 export interface SmoothedLoads {
-  /** Takes the loads of one period in; shards left out count as idle. */
+  /** Adds the loads of one period; missing shards count as idle. */
   update(loads: ReadonlyMap<ShardId, number>, periodMs: number): void;
   get(shard: ShardId): number;
 }
 
-/** A load that lasts shows by half after this time. */
+/** Time after which half of a lasting change of load is included. */
 const HALF_LIFE_MS = 5000;
 
-/** Below this a shard is idle, and forgotten. */
+/** Shards with a load below this value are idle and removed. */
 const IDLE_LOAD = 1e-4;
 
 /**
- * Averages loads with a half-life of 5 s, so that a short peak or one wrong
- * figure moves nothing.
+ * Smooths loads exponentially with a half-life of 5 s, so that a short peak or
+ * a single wrong measurement moves no shard.
  *
  * @example
  * ```ts
- * loads.note(new Map([['12', 0.8]]), 500);
+ * loads.update(new Map([['12', 0.8]]), 500);
  * loads.get('12');
  * ```
  */
@@ -33,7 +33,10 @@
         else smoothed.set(shard, value * retained);
       }
       for (const [shard, value] of loads) {
-        smoothed.set(shard, (smoothed.get(shard) ?? 0) + value * (1 - retained));
+        smoothed.set(
+          shard,
+          (smoothed.get(shard) ?? 0) + value * (1 - retained),
+        );
       }
     },
     get: shard => smoothed.get(shard) ?? 0,
--- a/packages/placement/test/hot-keys.test.ts
+++ b/packages/placement/test/hot-keys.test.ts
@@ -4,7 +4,8 @@
 import {createHotKeySketch} from '@banyandrum/placement/hot-keys.js';
 import {createSmoothedLoads} from '@banyandrum/placement/smooth-loads.js';
 
-const HOTTEST = 73;
+/** Number of hot keys; also the meter's limit. */
+const HOT_KEYS = 73;
 
 function createRandom(seed: number): () => number {
   let state = seed;
@@ -14,7 +15,7 @@
   };
 }
 
-/** Requests of one second: a tenth for the hottest keys, the rest scattered. */
+/** Records requests of one second: a quarter for hot keys, the rest random. */
 function recordRequests(
   add: (key: string, now: number) => void,
   random: () => number,
@@ -24,28 +25,30 @@
   for (let i = 0; i < 1000; i++) {
     const isHot = random() < 0.25;
     const key = isHot
-      ? `${prefix}-${Math.floor(random() * HOTTEST)}`
+      ? `${prefix}-${Math.floor(random() * HOT_KEYS)}`
       : `key-${Math.floor(random() * 1e6)}`;
     add(key, now + i);
   }
 }
 
-void tap.test('finds the hottest 73 keys within a minute of a shift', t => {
+void tap.test('finds the hottest 73 keys within a minute of a change', t => {
   const sketch = createHotKeySketch({capacity: 1024, halfLifeMs: 15_000});
   const random = createRandom(7);
   let now = 0;
-  for (; now < 120_000; now += 1000) recordRequests(sketch.add, random, 'claim', now);
+  for (; now < 120_000; now += 1000)
+    recordRequests(sketch.add, random, 'claim', now);
   const found = (prefix: string): number =>
-    sketch.top(HOTTEST, now).filter(({key}) => key.startsWith(`${prefix}-`))
+    sketch.top(HOT_KEYS, now).filter(({key}) => key.startsWith(`${prefix}-`))
       .length;
-  t.equal(found('claim'), HOTTEST);
-  for (; now < 180_000; now += 1000) recordRequests(sketch.add, random, 'ward', now);
-  t.equal(found('ward'), HOTTEST, 'the new ones have taken over');
+  t.equal(found('claim'), HOT_KEYS);
+  for (; now < 180_000; now += 1000)
+    recordRequests(sketch.add, random, 'ward', now);
+  t.equal(found('ward'), HOT_KEYS, 'the new hot keys replaced the old');
   t.equal(sketch.size(), 1024, 'memory is bounded');
   t.end();
 });
 
-void tap.test('counts are right, fade, and survive long silence', t => {
+void tap.test('counts are exact, decay, and survive long silence', t => {
   const sketch = createHotKeySketch({capacity: 2, halfLifeMs: 1000});
   sketch.add('a', 0, 8);
   sketch.add('b', 0, 2);
@@ -61,19 +64,19 @@
   t.end();
 });
 
-void tap.test('capacity follows what a server does', t => {
+void tap.test('the capacity estimate follows the observed server', t => {
   const estimate = createCapacityEstimate();
-  const sight = {slots: 4, busy: 2, shed: 0};
-  t.equal(estimate.update(sight, 1000), 4);
-  t.equal(estimate.update({...sight, shed: 3}, 1000), 1.8);
-  const later = estimate.update(sight, 10_000);
+  const observation = {slots: 4, busy: 2, shed: 0};
+  t.equal(estimate.update(observation, 1000), 4);
+  t.equal(estimate.update({...observation, shed: 3}, 1000), 1.8);
+  const later = estimate.update(observation, 10_000);
   t.ok(later > 2.5 && later < 2.7, 'recovers slowly');
-  t.equal(estimate.update(sight, 100_000), 4);
-  t.ok(estimate.update({...sight, busy: 0, shed: 1}, 1000) > 0);
+  t.equal(estimate.update(observation, 100_000), 4);
+  t.ok(estimate.update({...observation, busy: 0, shed: 1}, 1000) > 0);
   t.end();
 });
 
-void tap.test('one wrong figure hardly shows in a smoothed load', t => {
+void tap.test('one wrong measurement hardly changes a smoothed load', t => {
   const loads = createSmoothedLoads();
   for (let i = 0; i < 100; i++) loads.update(new Map([['1', 1]]), 500);
   t.ok(Math.abs(loads.get('1') - 1) < 0.01);
@@ -84,25 +87,28 @@
   t.end();
 });
 
-void tap.test('the meter tells rates, and nothing before it knows', t => {
-  let now = 0;
-  const clock = {now: () => now, after: () => () => {}};
-  const meter = createHotKeyMeter(clock);
-  const ask = (seconds: number): void => {
-    for (const end = now + seconds * 1000; now < end; now += 10) {
-      meter.record('claim-9', 20);
-      meter.record(`claim-${now}`, 1);
+void tap.test(
+  'the meter reports rates, but nothing before it is warmed up',
+  t => {
+    let now = 0;
+    const clock = {now: () => now, after: () => () => {}};
+    const meter = createHotKeyMeter(clock);
+    const ask = (seconds: number): void => {
+      for (const end = now + seconds * 1000; now < end; now += 10) {
+        meter.record('claim-9', 20);
+        meter.record(`claim-${now}`, 1);
+      }
+    };
+    ask(5);
+    t.same(meter.hottest(), [], 'a new leader needs more time');
+    for (const seconds of [10, 60]) {
+      ask(seconds);
+      const [first] = meter.hottest();
+      t.equal(first?.key, 'claim-9');
+      t.ok(Math.abs((first?.rate ?? 0) - 100) < 5, `${first?.rate} a second`);
+      t.ok(Math.abs((first?.busy ?? 0) - 2) < 0.1, `${first?.busy} slots`);
     }
-  };
-  ask(5);
-  t.same(meter.hottest(), [], 'a new leader has counted for too short a time');
-  for (const seconds of [10, 60]) {
-    ask(seconds);
-    const [first] = meter.hottest();
-    t.equal(first?.key, 'claim-9');
-    t.ok(Math.abs((first?.rate ?? 0) - 100) < 5, `${first?.rate} a second`);
-    t.ok(Math.abs((first?.busy ?? 0) - 2) < 0.1, `${first?.busy} slots`);
-  }
-  t.ok(meter.hottest().length <= HOTTEST);
-  t.end();
-});
+    t.ok(meter.hottest().length <= HOT_KEYS);
+    t.end();
+  },
+);
--- a/packages/placement/test/plan-moves.test.ts
+++ b/packages/placement/test/plan-moves.test.ts
@@ -8,7 +8,7 @@
 } from '@banyandrum/placement/plan.js';
 import {planMoves} from '@banyandrum/placement/plan-moves.js';
 
-/** The co-operative weighs churn most, the Board unavailable time. */
+/** The co-operative weights churn most, the Board unavailability. */
 const COOPERATIVE: Weights = {imbalance: 1, churn: 4, unavailable: 2};
 const BOARD: Weights = {imbalance: 1, churn: 1, unavailable: 4};
 const USERS = {COOPERATIVE, BOARD};
@@ -28,7 +28,7 @@
   return {shard: id, server, load, movedAt};
 }
 
-/** `count` shards on each of the servers, each with the same load. */
+/** Creates `count` shards with equal load on each of the servers. */
 function spread(
   servers: readonly string[],
   count: number,
@@ -53,47 +53,47 @@
   };
   const key = (list: readonly Move[]): string[] =>
     list.map(({shard, to}) => `${shard}>${to}`).sort();
-  tap.same(key(planMoves(reversed)), key(moves), 'order makes no difference');
+  tap.same(key(planMoves(reversed)), key(moves), 'independent of the order');
   return moves;
 }
 
 const abc = ['a', 'b', 'c'].map(name => candidate(name));
 
 for (const [user, weights] of Object.entries(USERS)) {
-  void tap.test(`${user}: what both users want`, t => {
+  void tap.test(`${user}: behaviour with any weights`, t => {
     const even = spread(['a', 'b', 'c'], 4, 0.3);
 
     t.same(plan(abc, even, weights), [], 'balanced: nothing moves');
 
     const slightly = even.map(s => (s.shard === 'a0' ? {...s, load: 0.5} : s));
-    t.same(plan(abc, slightly, weights), [], 'slight imbalance stays');
+    t.same(plan(abc, slightly, weights), [], 'slight imbalance: no moves');
 
     const halved = even.map(s => ({...s, load: s.load / 2}));
-    t.same(plan(abc, halved, weights), [], 'night: nothing moves');
+    t.same(plan(abc, halved, weights), [], 'low load: nothing moves');
 
     const lost = even.filter(s => s.server !== 'c');
-    const orphans = even
+    const unassigned = even
       .filter(s => s.server === 'c')
       .map(s => ({...s, server: null}));
-    const afterLoss = plan(abc.slice(0, 2), [...lost, ...orphans], weights);
+    const afterLoss = plan(abc.slice(0, 2), [...lost, ...unassigned], weights);
     t.equal(afterLoss.length, 4, 'lost server: only its shards move');
     t.ok(afterLoss.every(({from}) => from === null));
-    t.equal(afterLoss.filter(({to}) => to === 'a').length, 2, 'evenly');
+    t.equal(afterLoss.filter(({to}) => to === 'a').length, 2, 'spread evenly');
 
     const leaving = [...abc.slice(0, 2), candidate('c', {readiness: 0})];
     const emptied = plan(leaving, even, weights);
-    t.equal(emptied.length, 4, 'leaving server: emptied');
+    t.equal(emptied.length, 4, 'leaving server: all its shards move');
     t.ok(emptied.every(({from, to}) => from === 'c' && to !== 'c'));
 
     const pinned = even.map(s => ({...s, pinned: true}));
     t.same(plan(leaving, pinned, weights), [], 'pinned shards stay');
 
-    t.same(plan([], orphans, weights), [], 'nobody can take them');
+    t.same(plan([], unassigned, weights), [], 'no servers: no moves');
 
     const fresh = spread(['x'], 12, 0).map(s => ({...s, server: null}));
     const first = plan(abc, fresh, weights);
     for (const name of ['a', 'b', 'c']) {
-      t.equal(first.filter(({to}) => to === name).length, 4, 'first placing');
+      t.equal(first.filter(({to}) => to === name).length, 4, 'first placement');
     }
 
     const bigger = [candidate('a', {slots: 8, capacity: 8}), candidate('b')];
@@ -103,17 +103,17 @@
   });
 
   void tap.test(`${user}: hot spots`, t => {
-    // Server a is overloaded by many shards alike: some must go.
+    // Server a is overloaded by many equal shards: some must move off it.
     const many = [...spread(['a'], 10, 0.35), ...spread(['b', 'c'], 2, 0.1)];
     const relief = plan(abc, many, weights);
-    t.ok(relief.length > 0, 'an overloaded server is relieved');
+    t.ok(relief.length > 0, 'shards move off an overloaded server');
     t.ok(relief.every(({from, to}) => from === 'a' && to !== 'a'));
 
     const justMoved = many.map(s => ({...s, movedAt: NOW - 1000}));
-    t.same(plan(abc, justMoved, weights), [], 'not twice in a row');
+    t.same(plan(abc, justMoved, weights), [], 'shards that just moved stay');
 
-    // One key takes a whole server: moving it would move the hot spot, so
-    // its neighbours go.
+    // One key takes almost a whole server. Moving it would only move the hot
+    // spot, so other shards must move off the server.
     const neighbours = spread(['a'], 6, 0.2);
     const contested = [
       shard('k:claim-9', 'a', 3.5),
@@ -130,10 +130,10 @@
   });
 }
 
-void tap.test('the weights make the difference', t => {
-  // A hot key and its neighbours share a server, and there is an empty one.
-  // The co-operative wants few moves: the hot key goes alone. The Board wants
-  // no crowded ward to stop: the neighbours go.
+void tap.test('the weights decide between plans', t => {
+  // A hot key shares a server with other shards; another server is nearly idle.
+  // The co-operative prefers few moves: only the hot key moves. The Board
+  // prefers that a busy ward stays available: the other shards move.
   const servers = ['a', 'b'].map(name => candidate(name));
   const shards = [
     shard('k:ward-7', 'a', 1.2),
@@ -165,20 +165,20 @@
   t.end();
 });
 
-// One server takes three times as long for each request. Its slots are all
-// busy and it refuses the rest, but as its load can't grow beyond its slots
-// it looks only somewhat busier than the mean: a user who weighs churn most
-// would leave the shards there, and callers refused, for good.
-void tap.test('a full server is relieved, whatever the weights', t => {
+// One server takes three times as long per request. All its slots are busy, and
+// it refuses further requests. Since its measured load can't exceed its slots,
+// it seems only somewhat busier than the mean: with a high weight of churn, its
+// shards would stay there and callers would be refused permanently.
+void tap.test('shards move off a full server with any weights', t => {
   for (const weights of Object.values(USERS)) {
     const busy = [...spread(['a'], 10, 0.39), ...spread(['b', 'c'], 10, 0.2)];
     const relief = plan(abc, busy, weights);
-    t.ok(relief.length > 0, 'something goes');
+    t.ok(relief.length > 0, 'some shards move');
     t.ok(relief.every(({from}) => from === 'a'));
     const less = [...spread(['a'], 10, 0.3), ...spread(['b', 'c'], 10, 0.2)];
     t.ok(
       plan(abc, less, weights).length < relief.length,
-      'less where it copes',
+      'fewer if the server is not full',
     );
   }
   t.end();
--- a/packages/placement/test/planner.test.ts
+++ b/packages/placement/test/planner.test.ts
@@ -17,7 +17,7 @@
 const METER_SHARE = 1 - Math.exp(-PLAN_MS / 10_000);
 const WEIGHTS = {imbalance: 1, churn: 1, unavailable: 1};
 
-/** Slots that each server's shards keep busy in one period of 2 s. */
+/** Slots that a server's shards keep busy on average in a period of 2 s. */
 type BusySlots = (server: string, now: number) => number;
 
 interface Scenario {
@@ -26,10 +26,10 @@
   readonly seconds: number;
   readonly servers?: readonly string[];
   readonly serviceMs?: number;
-  /** Whether anything is to move. */
+  /** Whether the planner should move any shards. */
   readonly expected: 'none' | 'some';
-  /** Whether plans without memory would move something. */
-  readonly expectedWithoutMemory: 'none' | 'some';
+  /** Whether plans without state between them would move any shards. */
+  readonly expectedWithoutState: 'none' | 'some';
 }
 
 function createRandom(seed: number): () => number {
@@ -40,7 +40,7 @@
   };
 }
 
-/** What a random number of requests of random length kept busy. */
+/** Slots kept busy by a random number of requests of random duration. */
 function drawBusy(mean: number, serviceMs: number, random: () => number) {
   let ms = 0;
   const draw = (): number => -Math.log(1 - random());
@@ -50,11 +50,11 @@
   return ms / PLAN_MS;
 }
 
-/** Plans every 2 s as a leader does, with and without memory. */
+/** Plans every 2 s as a leader does, with and without state between plans. */
 function simulate(
   {busy, seconds, servers = SERVERS, serviceMs = 100}: Scenario,
   seed: number,
-): {readonly moves: readonly Move[]; readonly movesWithoutMemory: number} {
+): {readonly moves: readonly Move[]; readonly movesWithoutState: number} {
   const random = createRandom(seed);
   const planner = createPlanner();
   const loads = createSmoothedLoads();
@@ -64,8 +64,8 @@
       Array.from({length: PER_SERVER}, (_, i) => [`${server}${i}`, server]),
     ),
   );
-  const calm: Move[] = [];
-  let restless = 0;
+  const moves: Move[] = [];
+  let movesWithoutState = 0;
   for (let now = 0; now < seconds * 1000; now += PLAN_MS) {
     const drawn = [...owners].map(([shard, server]): [string, number] => {
       const mean = busy(server, now) / PER_SERVER;
@@ -86,115 +86,125 @@
       return {name, ...sizes, busy: 0, serviceMs};
     });
     const input: PlanInput = {now, candidates, shards, weights: WEIGHTS};
-    restless += planMoves(input).length;
+    movesWithoutState += planMoves(input).length;
     for (const move of planner.plan(input)) {
-      calm.push(move);
+      moves.push(move);
       owners.set(move.shard, move.to);
     }
   }
-  return {moves: calm, movesWithoutMemory: restless};
+  return {moves, movesWithoutState};
 }
 
-// A service that is hardly used, and one on a busy machine. The leader counts
-// few requests, some of which took long because a process stood still for a
-// moment; or the leader is new and has counted for a second. If it takes
-// chance for load, shards move to and fro for ever, each time making callers
-// wait, though there was nothing to be gained.
+// Loads are noisy: a service is rarely used, or runs on a busy machine where
+// processes stall for a moment, or the leader is new and has measured for a
+// second only. A leader that treats noise as load moves shards back and forth
+// without end, and each move makes callers wait for no benefit.
 const SCENARIOS: readonly Scenario[] = [
   {
     name: 'idle',
     busy: () => 0,
     seconds: 120,
     expected: 'none',
-    expectedWithoutMemory: 'none',
+    expectedWithoutState: 'none',
   },
   {
-    name: 'hardly used',
+    name: 'rarely used',
     busy: () => 0.2,
     seconds: 600,
     expected: 'none',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
   {
-    name: 'well used, loads alike but for chance',
+    name: 'busy, loads differ only by chance',
     busy: () => 2,
     serviceMs: 400,
     seconds: 600,
     expected: 'none',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
   {
-    name: 'long requests, few of them',
+    name: 'few, long requests',
     busy: () => 1.5,
     serviceMs: 2000,
     seconds: 300,
     expected: 'none',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
   {
-    // All its requests end at once, and count as busy for so long.
-    name: 'one server stands still for 4 s',
+    // All its requests end at once, and count as busy for the whole stall.
+    name: 'one server stalls for 4 s',
     busy: (server, now) => (server === 'a' && now === 60_000 ? 8 : 1),
     seconds: 120,
     expected: 'none',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
   {
-    name: 'a new leader, before it knows',
+    name: 'a new leader, before its loads are reliable',
     busy: server => (server === 'a' ? 3.8 : 1),
     seconds: SUSTAIN_MS / 2000,
     expected: 'none',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
   {
-    name: 'one server is clearly and lastingly busier',
+    name: 'one server is significantly busier for long',
     busy: server => (server === 'a' ? 3.8 : 1),
     seconds: 60,
     expected: 'some',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
   {
-    name: 'a server came later',
+    name: 'a server joins later',
     busy: () => 0.2,
     servers: [...SERVERS, 'e'],
     seconds: 20,
     expected: 'some',
-    expectedWithoutMemory: 'some',
+    expectedWithoutState: 'some',
   },
 ];
 
-for (const one of SCENARIOS) {
-  void tap.test(`${one.name}: ${one.expected} of the shards move`, t => {
-    let moved = 0;
-    for (let seed = 1; seed <= 3; seed++) {
-      const {moves: calm, movesWithoutMemory: restless} = simulate(one, seed);
-      t.equal(calm.length > 0 ? 'some' : 'none', one.expected, `seed ${seed}`);
-      moved += restless;
-    }
-    t.equal(moved > 0 ? 'some' : 'none', one.expectedWithoutMemory, 'without memory');
-    t.end();
-  });
+for (const scenario of SCENARIOS) {
+  void tap.test(
+    `${scenario.name}: ${scenario.expected} of the shards move`,
+    t => {
+      let moved = 0;
+      for (let seed = 1; seed <= 3; seed++) {
+        const {moves, movesWithoutState} = simulate(scenario, seed);
+        t.equal(
+          moves.length > 0 ? 'some' : 'none',
+          scenario.expected,
+          `seed ${seed}`,
+        );
+        moved += movesWithoutState;
+      }
+      t.equal(
+        moved > 0 ? 'some' : 'none',
+        scenario.expectedWithoutState,
+        'without state',
+      );
+      t.end();
+    },
+  );
 }
 
-void tap.test('what moves is what has to', t => {
-  const joined = SCENARIOS.find(({name}) => name === 'a server came later')!;
-  const {moves: calm} = simulate({...joined, seconds: 300}, 1);
+void tap.test('only the necessary shards move', t => {
+  const joined = SCENARIOS.find(({name}) => name === 'a server joins later')!;
+  const {moves} = simulate({...joined, seconds: 300}, 1);
   const half = (SERVERS.length * PER_SERVER) / 5 / 2;
-  t.ok(calm.every(({to}) => to === 'e'));
-  t.equal(calm.length, Math.ceil(half), 'half of its share, where all is idle');
+  t.ok(moves.every(({to}) => to === 'e'));
+  t.equal(moves.length, Math.ceil(half), 'half of its share while idle');
 
   const lost: Scenario = {...joined, servers: ['a', 'b', 'c'], seconds: 2};
   const forced = simulate(lost, 1).moves;
-  t.equal(forced.length, PER_SERVER, 'the shards of a lost server, at once');
+  t.equal(forced.length, PER_SERVER, 'shards of a lost server move at once');
   t.ok(forced.every(({from}) => from === 'd'));
   t.end();
 });
 
-// All servers stood still and lost their leases; the first to come back got
-// every shard, and the others came seconds later. If shards that were just
-// granted stayed for half a minute, three quarters of the capacity would be
-// idle while the one server refused most of what callers asked.
-void tap.test('shards crowded onto one server spread at once', t => {
+// All servers stalled and lost their leases. The first one to return got every
+// shard, and the others returned seconds later. If these shards stayed for half
+// a minute because they had just moved, three quarters of the capacity would be
+// idle while the first server refused most requests.
+void tap.test('too many shards on one server spread at once', t => {
   const planner = createPlanner();
   const owners = new Map(
     Array.from({length: 64}, (_, i) => [String(i), 'a'] as const),
