--- a/packages/gateway/src/gathered.ts
+++ b/packages/gateway/src/gathered.ts
@@ -31,7 +31,7 @@
   let isQueued = false;
   let cancelTimer: (() => void) | null = null;
 
-  const now = (): void => {
+  const notifyNow = (): void => {
     cancelTimer?.();
     cancelTimer = null;
     isQueued = false;
@@ -39,16 +39,16 @@
   };
 
   return {
-    notifyNow: now,
+    notifyNow,
     notifySoon() {
       if (isQueued) return;
       isQueued = true;
       queueMicrotask(() => {
-        if (isQueued) now();
+        if (isQueued) notifyNow();
       });
     },
     notifyLater() {
-      cancelTimer ??= clock.after(COALESCE_MS, now);
+      cancelTimer ??= clock.after(COALESCE_MS, notifyNow);
     },
   };
 }
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -40,7 +40,7 @@
       readonly isWhole: boolean;
       /**
        * Whether this is the first read since the store was restored: servers
-       * that registered after the backup was taken have to register again.
+       * that registered after the snapshot was taken have to register again.
        */
       readonly isRestored?: boolean;
       readonly changes: readonly ServerListChange[];
@@ -78,8 +78,8 @@
 
 /**
  * The epochs of the platform's store as this router knows them. Restoring the
- * store from a backup begins a new epoch: writes since the backup are lost, and
- * positions in its logs are assigned again.
+ * store from a snapshot begins a new epoch: writes since the snapshot are lost,
+ * and positions in its logs are assigned again.
  */
 export interface StoreHistory {
   /** The newest known epoch; 0 before the first. */
--- a/packages/gateway/src/refresh-loops.ts
+++ b/packages/gateway/src/refresh-loops.ts
@@ -37,12 +37,12 @@
  */
 const NO_LEADER_READ_SHARE = 0.3;
 /** State that the leader confirmed within this time counts as fresh, in ms. */
-const LEADER_STATE_FRESH_MS = 900;
+const FRESH_MS = 900;
 /** Tables are read from the store after this time without a leader, in ms. */
 const TABLES_READ_AFTER_MS = 1_500;
 const TABLES_READ_MS = 1_000;
 /** Interval at which the leader collects its own measurements, in ms. */
-const OWN_MEASUREMENTS_MS = 100;
+const OWN_COUNTS_MS = 100;
 /** Interval at which a follower checks whether it leads now, in ms. */
 const LEADING_CHECK_MS = 500;
 /**
@@ -56,7 +56,7 @@
  * a read of the store would be.
  */
 export function hasFreshLeaderState(link: LinkClient): boolean {
-  return link.ageMs() < LEADER_STATE_FRESH_MS;
+  return link.ageMs() < FRESH_MS;
 }
 
 /**
@@ -74,16 +74,11 @@
   let lastReadAt = -Infinity;
   repeat({...cfg, name: 'servers', pauseMs: SERVER_LIST_READ_MS}, async () => {
     const ageMs = list.ageMs();
-    const isNotLeading = !leadership.isLeading();
-    if (
-      isNotLeading &&
-      hasFreshLeaderState(link) &&
-      ageMs < LEADER_STATE_FRESH_MS
-    )
-      return;
+    const isFollower = !leadership.isLeading();
+    if (isFollower && hasFreshLeaderState(link) && ageMs < FRESH_MS) return;
     const now = cfg.clock.now();
     const isKnown = list.cursor() !== null;
-    if (isNotLeading && isKnown && now - lastReadAt < noLeaderReadMs) return;
+    if (isFollower && isKnown && now - lastReadAt < noLeaderReadMs) return;
     lastReadAt = now;
     list.take(await platform.readServers(list.cursor()));
   });
@@ -93,13 +88,10 @@
   repeat({...cfg, name: 'shares', pauseMs: CONNECTION_LIMITS_MS}, async () =>
     cfg.updateConnectionLimits(),
   );
-  repeat(
-    {...cfg, name: 'own-counts', pauseMs: OWN_MEASUREMENTS_MS},
-    async () => {
-      if (leadership.isLeading()) return cfg.collectOwnMeasurements();
-      await sleep(cfg.clock, LEADING_CHECK_MS);
-    },
-  );
+  repeat({...cfg, name: 'own-counts', pauseMs: OWN_COUNTS_MS}, async () => {
+    if (leadership.isLeading()) return cfg.collectOwnMeasurements();
+    await sleep(cfg.clock, LEADING_CHECK_MS);
+  });
 }
 
 /**
--- a/packages/gateway/src/service-times.ts
+++ b/packages/gateway/src/service-times.ts
@@ -8,7 +8,7 @@
   add(times: readonly ServerTimeTotals[]): void;
   /**
    * Smoothed service time of one request, in ms. With few measurements it is
-   * close to `fallbackMs`.
+   * close to `fallbackMs`; with 3 requests, both weigh the same.
    */
   estimateMs(server: string, fallbackMs: number): number;
 }
--- a/packages/gateway/src/stop-router.ts
+++ b/packages/gateway/src/stop-router.ts
@@ -36,10 +36,10 @@
  * ```
  */
 export async function stopRouter(cfg: StopConfig): Promise<void> {
-  const {clock, emit, graceMs, frontend: entry, routers, leadership} = cfg;
+  const {clock, emit, graceMs, frontend, routers, leadership} = cfg;
   const startedAt = clock.now();
-  emit('stopping', {inFlight: entry.inFlight()});
-  entry.startClosing();
+  emit('stopping', {inFlight: frontend.inFlight()});
+  frontend.startClosing();
   // The platform chooses another leader only after this router has left the
   // group. While the store is down, this router keeps renewing leases: without
   // a leader they would expire.
@@ -49,9 +49,9 @@
   // By now the load balancer opens no new connections. A request that arrives
   // on a kept-alive connection as it closes was not read, so its caller retries
   // it; one that arrived just before the process exits would be lost.
-  entry.server.close();
+  frontend.server.close();
   const isNeeded = (): boolean =>
-    entry.inFlight() > 0 || leadership.isLeading();
+    frontend.inFlight() > 0 || leadership.isLeading();
   while (isNeeded() && clock.now() < end) {
     await sleep(clock, DRAIN_POLL_MS);
   }
