--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -2,7 +2,7 @@
 import type {ServerLoad, ServerLoads} from './carriers.js';
 import type {Move, PlacedShard, PlanInput, Weights} from './plan.js';
 
-/** Maximum moves per plan, so that the next plan can take their effect in. */
+/** Maximum moves per plan; the next plan takes their effect into account. */
 const MAX_MOVES = 8;
 
 /** Minimum time between two moves of a shard, so that it isn't moved back. */
--- a/packages/placement/src/capacity.ts
+++ b/packages/placement/src/capacity.ts
@@ -10,7 +10,7 @@
 /** Estimates how many of its slots a server can keep busy. */
 export interface CapacityEstimate {
   /** Adds a period; returns the estimate, above 0 and at most `slots`. */
-  update(sight: ServerObservation, periodMs: number): number;
+  update(observation: ServerObservation, periodMs: number): number;
 }
 
 /** Sets the estimate below the load at which the server refused requests. */
--- a/packages/placement/src/carriers.ts
+++ b/packages/placement/src/carriers.ts
@@ -68,5 +68,5 @@
   for (const shard of shards) {
     move(shard, null, byName.get(shard.server ?? '') ?? null);
   }
-  return {byName, weightOf: weightOf, move};
+  return {byName, weightOf, move};
 }
--- a/packages/placement/src/hot-keys.ts
+++ b/packages/placement/src/hot-keys.ts
@@ -32,7 +32,6 @@
   weight: number;
   error: number;
   count: number;
-
   heapIndex: number;
 }
 
--- a/packages/placement/src/place-orphans.ts
+++ b/packages/placement/src/place-orphans.ts
@@ -49,7 +49,7 @@
     shard: shard.shard,
     from,
     to: best.candidate.name,
-    reason: from === null ? 'nobody owned it' : `${from} is leaving`,
+    reason: from === null ? 'shard had no owner' : `${from} is leaving`,
   };
 }
 
--- a/packages/placement/test/hot-keys.test.ts
+++ b/packages/placement/test/hot-keys.test.ts
@@ -16,7 +16,7 @@
 }
 
 /** Records requests of one second: a quarter for hot keys, the rest random. */
-function recordRequests(
+function record(
   add: (key: string, now: number) => void,
   random: () => number,
   prefix: string,
@@ -35,14 +35,12 @@
   const sketch = createHotKeySketch({capacity: 1024, halfLifeMs: 15_000});
   const random = createRandom(7);
   let now = 0;
-  for (; now < 120_000; now += 1000)
-    recordRequests(sketch.add, random, 'claim', now);
+  for (; now < 120_000; now += 1000) record(sketch.add, random, 'claim', now);
   const found = (prefix: string): number =>
     sketch.top(HOT_KEYS, now).filter(({key}) => key.startsWith(`${prefix}-`))
       .length;
   t.equal(found('claim'), HOT_KEYS);
-  for (; now < 180_000; now += 1000)
-    recordRequests(sketch.add, random, 'ward', now);
+  for (; now < 180_000; now += 1000) record(sketch.add, random, 'ward', now);
   t.equal(found('ward'), HOT_KEYS, 'the new hot keys replaced the old');
   t.equal(sketch.size(), 1024, 'memory is bounded');
   t.end();
--- a/packages/placement/test/plan-moves.test.ts
+++ b/packages/placement/test/plan-moves.test.ts
@@ -66,7 +66,7 @@
     t.same(plan(abc, even, weights), [], 'balanced: nothing moves');
 
     const slightly = even.map(s => (s.shard === 'a0' ? {...s, load: 0.5} : s));
-    t.same(plan(abc, slightly, weights), [], 'slight imbalance: no moves');
+    t.same(plan(abc, slightly, weights), [], 'slight imbalance: nothing moves');
 
     const halved = even.map(s => ({...s, load: s.load / 2}));
     t.same(plan(abc, halved, weights), [], 'low load: nothing moves');
@@ -88,7 +88,7 @@
     const pinned = even.map(s => ({...s, pinned: true}));
     t.same(plan(leaving, pinned, weights), [], 'pinned shards stay');
 
-    t.same(plan([], unassigned, weights), [], 'no servers: no moves');
+    t.same(plan([], unassigned, weights), [], 'no servers: nothing moves');
 
     const fresh = spread(['x'], 12, 0).map(s => ({...s, server: null}));
     const first = plan(abc, fresh, weights);
