--- a/packages/gateway/src/keep-up.ts
+++ b/packages/gateway/src/keep-up.ts
@@ -1,7 +1,7 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import {storeEpochOfFence} from '@banyandrum/ranges/fence.js';
-import type {Holding, ServedRange} from '@banyandrum/ranges/table.js';
+import type {RangeAssignment, ServedRange} from '@banyandrum/ranges/table.js';
 import type {KeyOwners} from './key-owners.js';
 import type {Leadership} from './leadership.js';
 import type {LinkClient} from './link-client.js';
@@ -86,7 +86,7 @@
 }
 
 /** What was recorded before the store was restored may hold no longer. */
-function toServed(holding: Holding, storeEpoch: number): ServedRange {
+function toServed(holding: RangeAssignment, storeEpoch: number): ServedRange {
   const {from, to, server, fence} = holding;
   const isCurrent = storeEpochOfFence(fence) === storeEpoch;
   return {from, to, server: isCurrent ? server : null};
@@ -104,7 +104,7 @@
   const storeEpoch = platform.history.epoch();
   owners.takeTables(
     new Map(
-      stored.map(({service, holdings}) => [
+      stored.map(({service, assignments: holdings}) => [
         service,
         holdings.map(holding => toServed(holding, storeEpoch)),
       ]),
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -1,23 +1,23 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import {
-  FENCES_A_TERM,
+  FENCES_PER_TERM,
   storeEpochOfTerm,
   toFence,
 } from '@banyandrum/ranges/fence.js';
 import {
   inheritRecorded,
   isRecordedSinceRestore,
-  type InheritedHolding,
+  type InheritedAssignment,
 } from '@banyandrum/ranges/inheritance.js';
 import {
-  leadService,
-  type ServiceLead,
-} from '@banyandrum/ranges/lead-service.js';
-import type {Ledger} from '@banyandrum/ranges/ledger.js';
-import type {LedServer} from '@banyandrum/ranges/lead-state.js';
+  createServiceLeader,
+  type ServiceLeader,
+} from '@banyandrum/ranges/service-leader.js';
+import type {TableStore} from '@banyandrum/ranges/table-store.js';
+import type {ListedServer} from '@banyandrum/ranges/leader-state.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
-import {AUTHORITY_MS, type HoldTiming} from '@banyandrum/ranges/timing.js';
+import {AUTHORITY_MS, type LeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {createGathered} from './gathered.js';
 import type {KeyCounts, ServedTables} from './key-owners.js';
 import type {Platform} from './platform.js';
@@ -53,13 +53,13 @@
   readonly emit: Emit;
   /** Time that also passes while the host is suspended, in ms. */
   wakefulNow(): number;
-  readonly timing: HoldTiming;
+  readonly timing: LeaseTiming;
   /** Distinguishes the versions of this run. */
   readonly boot: string;
   /** This router's address for the others, `ip:port`. */
   readonly address: string;
   keyedServices(): readonly string[];
-  serversOf(service: string): readonly LedServer[];
+  serversOf(service: string): readonly ListedServer[];
   hasEnded(server: string): boolean;
   /** Whether no server came to the list for a while. */
   isListSettled(): boolean;
@@ -82,14 +82,14 @@
 const SPARE_FENCES = 2 ** 16;
 
 /** What a term takes over, by service. */
-type Inheritance = ReadonlyMap<string, readonly InheritedHolding[]>;
+type Inheritance = ReadonlyMap<string, readonly InheritedAssignment[]>;
 
 const NOTHING: Inheritance = new Map();
 
 interface Term {
   readonly epoch: number;
   readonly inherited: Inheritance;
-  readonly leads: Map<string, ServiceLead>;
+  readonly leads: Map<string, ServiceLeader>;
   fence: number;
 }
 
@@ -148,7 +148,7 @@
   const isUnrecordedFree = (): boolean => {
     const isWhole =
       history.epoch() === 0 || (cfg.isFirstStart && !hasSeenRestore);
-    return isWhole || clock.now() >= cfg.timing.lapseOf(earlierActUntil());
+    return isWhole || clock.now() >= cfg.timing.expiryOf(earlierActUntil());
   };
 
   /** Whether the store was restored since the term began. */
@@ -156,7 +156,7 @@
     storeEpochOfTerm(epoch) < history.epoch();
 
   /** A term that the store lost records nothing: its successor would. */
-  const ledgerOf = (own: Term): Pick<Ledger, 'save'> => ({
+  const ledgerOf = (own: Term): Pick<TableStore, 'save'> => ({
     save: async table =>
       isRestored(own) ? 'failed' : platform.ledger.save(table),
   });
@@ -164,20 +164,20 @@
   const leadNew = (own: Term): void => {
     for (const service of cfg.keyedServices()) {
       if (own.leads.has(service)) continue;
-      const lead = leadService({
+      const lead = createServiceLeader({
         service,
         inherited: own.inherited.get(service) ?? null,
-        earlierActUntil: earlierActUntil(),
-        isUnrecordedFree,
-        wakefulNow: cfg.wakefulNow,
-        ledger: ledgerOf(own),
-        orders: platform.orders,
+        earlierLeadersActUntil: earlierActUntil(),
+        areUnrecordedKeysFree: isUnrecordedFree,
+        suspendAwareNow: cfg.wakefulNow,
+        tableStore: ledgerOf(own),
+        leaseClient: platform.orders,
         clock,
         timing: cfg.timing,
         servers: () => cfg.serversOf(service),
         hasEnded: cfg.hasEnded,
         isListSettled: cfg.isListSettled,
-        waitingKeys: () => cfg.waitingKeys(service),
+        queuedKeys: () => cfg.waitingKeys(service),
         nextFence: () => toFence(own.epoch, own.fence++),
         mayAct: () => term === own && mayAct(),
         onChange: changed,
@@ -194,7 +194,7 @@
 
   const tick = (own: Term): void => {
     if (term !== own) return;
-    if (own.fence >= FENCES_A_TERM - SPARE_FENCES) return end('fences-used');
+    if (own.fence >= FENCES_PER_TERM - SPARE_FENCES) return end('fences-used');
     if (isRestored(own) && !mayAct()) return end('restored');
     leadNew(own);
     for (const lead of own.leads.values()) lead.tick();
@@ -231,7 +231,7 @@
   const start = async (before: Term | null): Promise<void> => {
     isStarting = true;
     const askedAt = cfg.wakefulNow();
-    const epoch = await platform.ledger.begin(cfg.address);
+    const epoch = await platform.ledger.beginTerm(cfg.address);
     const stored = epoch === null ? null : await platform.ledger.load();
     if (
       epoch === null ||
@@ -272,7 +272,7 @@
 
   const check = async (own: Term): Promise<void> => {
     const askedAt = cfg.wakefulNow();
-    const isNewest = await platform.ledger.isNewest();
+    const isNewest = await platform.ledger.isNewestTerm();
     if (term !== own) return;
     if (isRestored(own)) return void goOn(own);
     if (isNewest === true) confirmedAt = Math.max(confirmedAt, askedAt);
--- a/packages/gateway/src/led-servers.ts
+++ b/packages/gateway/src/led-servers.ts
@@ -2,7 +2,7 @@
 import type {Backends} from '@banyandrum/dispatch/backends.js';
 import type {ServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {meanMs} from '@banyandrum/dispatch/server-cost.js';
-import type {LedServer} from '@banyandrum/ranges/lead-state.js';
+import type {ListedServer} from '@banyandrum/ranges/leader-state.js';
 import type {ServiceTimes} from './service-times.js';
 
 /** What the servers of a keyed service are known by. */
@@ -22,7 +22,7 @@
 export function ledServers(
   {backends, times, clock, limits, hasEnded}: LedServersConfig,
   service: string,
-): readonly LedServer[] {
+): readonly ListedServer[] {
   const listed = backends.ofService(service);
   const known = listed.map(({info}) => times.of(info.id, 0));
   const typical = meanMs(known, DEFAULT_SERVICE_MS);
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -2,8 +2,8 @@
 import type {AttemptOutcome} from '@banyandrum/dispatch/attempt-outcome.js';
 import type {Suspect} from '@banyandrum/dispatch/suspect.js';
 import type {WireNames} from '@banyandrum/dispatch/wire.js';
-import type {Ledger, SaveEnd} from '@banyandrum/ranges/ledger.js';
-import type {Orders} from '@banyandrum/ranges/orders.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/table-store.js';
+import type {LeaseClient} from '@banyandrum/ranges/lease-client.js';
 import type {RoutingConfig} from '@banyandrum/routing/config.js';
 
 /** What a read of the configuration yields. */
@@ -69,9 +69,9 @@
   /** All rows; null where they can't be read. */
   load(): Promise<readonly Suspect[] | null>;
   /** Writes a row for the leader of this term; one call at a time. */
-  save(epoch: number, row: Suspect): Promise<SaveEnd>;
+  save(epoch: number, row: Suspect): Promise<SaveResult>;
   /** Takes a row out. */
-  drop(epoch: number, content: string): Promise<SaveEnd>;
+  drop(epoch: number, content: string): Promise<SaveResult>;
 }
 
 /**
@@ -97,9 +97,9 @@
   /** `self` is this router's name, which is how the others find it. */
   members(self: string): Members;
   readonly history: StoreHistory;
-  readonly ledger: Ledger;
+  readonly ledger: TableStore;
   readonly suspects: SuspectRecords;
-  readonly orders: Orders;
+  readonly orders: LeaseClient;
   /** Calls `listener` with the outcome of each order that was sent. */
   subscribeOrderOutcomes(listener: (outcome: AttemptOutcome) => void): void;
   /** Calls to the platform since the start, by what they were for. */
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -17,7 +17,7 @@
   noteRetryAfter,
 } from '@banyandrum/dispatch/server-rests.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
-import {createTiming} from '@banyandrum/ranges/timing.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {createSplitter} from '@banyandrum/routing/split.js';
 import {keepConfig} from './config-keeper.js';
 import {createEntry} from './entry.js';
@@ -125,7 +125,7 @@
     boot,
     address: settings.listen.peers,
     keyedServices,
-    timing: createTiming(settings.servers.holdMaxMs),
+    timing: createLeaseTiming(settings.servers.holdMaxMs),
     serversOf: service => ledServers(led, service),
     hasEnded,
     isListSettled: () => list.settledMs() >= SETTLE_MS,
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -2,18 +2,18 @@
 import {createLeadership} from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
 import {wakefulTime} from '@banyandrum/gateway/wakeful-clock.js';
-import type {Ledger} from '@banyandrum/ranges/ledger.js';
-import type {Orders} from '@banyandrum/ranges/orders.js';
-import {createTiming} from '@banyandrum/ranges/timing.js';
+import type {TableStore} from '@banyandrum/ranges/table-store.js';
+import type {LeaseClient} from '@banyandrum/ranges/lease-client.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 import {createFakeHistory} from './fake-history.js';
 
 /** Answers whether the first term is the newest one; null: not at all. */
 let isNewest: boolean | null = true;
 
-const LEDGER: Ledger = {
-  begin: async () => 1,
-  isNewest: async () => isNewest,
+const LEDGER: TableStore = {
+  beginTerm: async () => 1,
+  isNewestTerm: async () => isNewest,
   lastLeader: async () => ({kind: 'read', address: null}),
   load: async () => [],
   save: async () => 'saved',
@@ -27,7 +27,7 @@
   const clock = createManualClock(1_000);
   let today = 50_000;
   let grants = 0;
-  const orders: Orders = {
+  const orders: LeaseClient = {
     async grant() {
       grants++;
       return {kind: 'done', handover: null};
@@ -40,7 +40,7 @@
     platform: {ledger: LEDGER, orders, history} as unknown as Platform,
     clock,
     wakefulNow,
-    timing: createTiming(10_000),
+    timing: createLeaseTiming(10_000),
     boot: 'b1',
     address: '10.0.0.9:7200',
     emit: () => undefined,
--- a/packages/gateway/test/many-changes.test.ts
+++ b/packages/gateway/test/many-changes.test.ts
@@ -6,11 +6,11 @@
   type Leadership,
 } from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import type {LedServer} from '@banyandrum/ranges/lead-state.js';
-import type {Ledger} from '@banyandrum/ranges/ledger.js';
-import type {Orders} from '@banyandrum/ranges/orders.js';
-import {cutEvenly, type Holding} from '@banyandrum/ranges/table.js';
-import {createTiming} from '@banyandrum/ranges/timing.js';
+import type {ListedServer} from '@banyandrum/ranges/leader-state.js';
+import type {TableStore} from '@banyandrum/ranges/table-store.js';
+import type {LeaseClient} from '@banyandrum/ranges/lease-client.js';
+import {splitEvenly, type RangeAssignment} from '@banyandrum/ranges/table.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {
   createManualClock,
   type ManualClock,
@@ -20,7 +20,7 @@
 const SERVERS = 200;
 const LEAVING = 40;
 
-const ALL: readonly LedServer[] = Array.from({length: SERVERS}, (_, at) => ({
+const ALL: readonly ListedServer[] = Array.from({length: SERVERS}, (_, at) => ({
   ...{id: `s${at}`, address: `10.0.${at >> 8}.${at & 255}:80`},
   ...{slots: 2, serviceMs: 400, isOpen: true},
 }));
@@ -28,26 +28,26 @@
 interface Scene {
   readonly clock: ManualClock;
   readonly leadership: Leadership;
-  servers: readonly LedServer[];
+  servers: readonly ListedServer[];
   /** Fences of all grants. */
   readonly fences: number[];
   /** Called as a server is asked to give keys back. */
-  onRelease: (holding: Holding) => void;
+  onRelease: (holding: RangeAssignment) => void;
 }
 
-function createScene(epoch: number, stored: readonly Holding[]): Scene {
+function createScene(epoch: number, stored: readonly RangeAssignment[]): Scene {
   const clock = createManualClock(1_000);
-  const ledger: Ledger = {
-    begin: async () => epoch,
-    isNewest: async () => true,
+  const ledger: TableStore = {
+    beginTerm: async () => epoch,
+    isNewestTerm: async () => true,
     lastLeader: async () => ({kind: 'read', address: null}),
     load: async () =>
-      stored.length > 0 ? [{service: 'rounds', holdings: stored}] : [],
+      stored.length > 0 ? [{service: 'rounds', assignments: stored}] : [],
     save: async () => 'saved',
   };
   const travel = async (): Promise<void> =>
     sleep(clock, 1 + (scene.fences.length % 7));
-  const orders: Orders = {
+  const orders: LeaseClient = {
     async grant({fence}) {
       scene.fences.push(fence);
       await travel();
@@ -62,7 +62,7 @@
   const history = createFakeHistory(() => clock.now());
   const leadership = createLeadership({
     platform: {ledger, orders, history} as unknown as Platform,
-    ...{clock, timing: createTiming(10_000), boot: 'b1'},
+    ...{clock, timing: createLeaseTiming(10_000), boot: 'b1'},
     ...{address: '10.0.0.9:7200', emit: () => undefined},
     wakefulNow: () => clock.now(),
     keyedServices: () => ['rounds'],
@@ -122,7 +122,7 @@
 // one above them would refuse the next leader, and its keys would be served by
 // nobody; or the earlier one's late order would win.
 void tap.test('fences of a large term lie below the next term', async t => {
-  const holdings = cutEvenly(4_200).map((range, at) => {
+  const holdings = splitEvenly(4_200).map((range, at) => {
     const {id, address} = ALL[at % SERVERS]!;
     return {...range, server: id, address, fence: 1, handover: null};
   });
@@ -143,7 +143,7 @@
 // it must not be busy with all grants at once, nor be late with any, as the
 // servers hold their keys for another second at least. Before: 1,000 at once.
 void tap.test('a new leader grants what it takes over bit by bit', async t => {
-  const holdings = cutEvenly(1_000).map((range, at) => {
+  const holdings = splitEvenly(1_000).map((range, at) => {
     const {id, address} = ALL[at % SERVERS]!;
     return {...range, server: id, address, fence: 1, handover: null};
   });
--- a/packages/gateway/test/restorable-store.ts
+++ b/packages/gateway/test/restorable-store.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {StoreHistory} from '@banyandrum/gateway/platform.js';
 import {storeEpochOfTerm, toTermEpoch} from '@banyandrum/ranges/fence.js';
-import type {Ledger, SaveEnd} from '@banyandrum/ranges/ledger.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/table-store.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
 
 /** What the store keeps of leaders. */
@@ -13,7 +13,7 @@
 
 /** A router's way to the store. */
 export interface StoreAccess {
-  readonly ledger: Ledger;
+  readonly ledger: TableStore;
   readonly history: StoreHistory;
   /** Whether calls get no answer. */
   isCut: boolean;
@@ -70,7 +70,7 @@
 
     const isOwnHistory = (): boolean => storeEpochOfTerm(own) === storeEpoch;
 
-    const save = (table: RangeTable): SaveEnd => {
+    const save = (table: RangeTable): SaveResult => {
       if (records.owner > own && isOwnHistory()) return 'fenced';
       if (!isOwnHistory()) return 'failed';
       const tables = new Map(records.tables).set(table.service, table);
@@ -86,7 +86,7 @@
         subscribe: listener => void listeners.add(listener),
       },
       ledger: {
-        async begin() {
+        async beginTerm() {
           const epoch = await call(() => {
             const terms = records.terms + 1;
             const owner = toTermEpoch(storeEpoch, terms);
@@ -96,7 +96,7 @@
           own = epoch ?? own;
           return epoch;
         },
-        isNewest: () =>
+        isNewestTerm: () =>
           call(() => isOwnHistory() && records.owner === own).then(answer =>
             known === storeEpochOfTerm(own) ? answer : null,
           ),
--- a/packages/gateway/test/restored-leaders.test.ts
+++ b/packages/gateway/test/restored-leaders.test.ts
@@ -4,13 +4,13 @@
   type Leadership,
 } from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import {createTiming} from '@banyandrum/ranges/timing.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {
   createManualClock,
   type ManualClock,
 } from '@banyandrum/standins/manual-clock.js';
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
-import {createFakeWorld, type FakeWorld} from '../../ranges/test/fake-world.js';
+import {createFakeCluster, type FakeCluster} from '../../ranges/test/fake-cluster.js';
 import {
   createRestorableStore,
   type RestorableStore,
@@ -38,7 +38,7 @@
 }
 
 interface Scene {
-  readonly world: FakeWorld;
+  readonly world: FakeCluster;
   readonly store: RestorableStore;
   readonly routers: readonly Router[];
   readonly unlisted: Set<string>;
@@ -50,17 +50,17 @@
 function createScene(seed: number): Scene {
   const random = createRandom(seed * 7_919);
   const clock = createManualClock(1_000);
-  const world = createFakeWorld(clock, random, ['a', 'b', 'c', 'd']);
+  const world = createFakeCluster(clock, random, ['a', 'b', 'c', 'd']);
   const store = createRestorableStore(clock, random);
   const unlisted = new Set<string>();
   const routers = [0, 1, 2].map((at): Router => {
     const access = store.open();
     const {ledger, history} = access;
-    const orders = world.ordersFor(at);
+    const orders = world.createLeaseClient(at);
     const leadership = createLeadership({
       platform: {ledger, history, orders} as unknown as Platform,
       ...{clock, wakefulNow: () => clock.now()},
-      timing: createTiming(10_000),
+      timing: createLeaseTiming(10_000),
       ...{boot: `b${at}`, address: `10.0.1.${at}:7200`},
       emit: () => undefined,
       keyedServices: () => [SERVICE],
@@ -123,7 +123,7 @@
     });
   },
   scene => {
-    const {cutFrom} = pickFrom(scene, scene.world.servers);
+    const {unreachableBy: cutFrom} = pickFrom(scene, scene.world.servers);
     const leader = Math.floor(scene.random() * 3);
     cutFrom.add(leader);
     scene.clock.after(scene.random() * 5_000, () => {
@@ -140,14 +140,14 @@
     const {world, routers, random} = scene;
     void routers[0]!.leadership.begin();
     await scene.pass(3_000);
-    Object.assign(world.luck, {late: 0.02, unanswered: 0.02, unsaved: 0.02});
+    Object.assign(world.faultRates, {late: 0.02, unanswered: 0.02, unsaved: 0.02});
     for (let passed = 0; passed < TROUBLE_MS;) {
       const pauseMs = random() * GAP_MAX_MS;
       await scene.pass(pauseMs);
       pickFrom(scene, TROUBLES)(scene);
       passed += pauseMs;
     }
-    Object.assign(world.luck, {late: 0, unanswered: 0, unsaved: 0});
+    Object.assign(world.faultRates, {late: 0, unanswered: 0, unsaved: 0});
     await scene.pass(TROUBLE_LONGEST_MS);
     for (let passed = 0; passed < CALM_MS; passed += SUCCESSION_MS) {
       if (!routers.some(({leadership}) => leadership.isLeading())) {
--- a/packages/ranges/src/fence.ts
+++ b/packages/ranges/src/fence.ts
@@ -2,9 +2,9 @@
  * Fences of one term. A term at the size designed for has some thousand ranges,
  * and moves a few hundred a second.
  */
-export const FENCES_A_TERM = 2 ** 20;
+export const FENCES_PER_TERM = 2 ** 20;
 /** Terms in one epoch of the store's history: some centuries of changes. */
-const TERMS_A_STORE_EPOCH = 2 ** 20;
+const TERMS_PER_STORE_EPOCH = 2 ** 20;
 /** Fences stay below 2^53, where whole numbers are exact. */
 export const MAX_STORE_EPOCH = 2 ** 13 - 1;
 
@@ -18,25 +18,25 @@
  * ```
  */
 export function toTermEpoch(storeEpoch: number, term: number): number {
-  return storeEpoch * TERMS_A_STORE_EPOCH + term;
+  return storeEpoch * TERMS_PER_STORE_EPOCH + term;
 }
 
 /** The epoch of the store's history in which the term began. */
 export function storeEpochOfTerm(termEpoch: number): number {
-  return Math.floor(termEpoch / TERMS_A_STORE_EPOCH);
+  return Math.floor(termEpoch / TERMS_PER_STORE_EPOCH);
 }
 
 /** The term's number in its epoch of the store's history. */
 export function termNumber(termEpoch: number): number {
-  return termEpoch % TERMS_A_STORE_EPOCH;
+  return termEpoch % TERMS_PER_STORE_EPOCH;
 }
 
 /** The fence of this number in the term; it is above all of earlier terms. */
 export function toFence(termEpoch: number, number: number): number {
-  return termEpoch * FENCES_A_TERM + number;
+  return termEpoch * FENCES_PER_TERM + number;
 }
 
 /** The epoch of the store's history in which the fence was given out. */
 export function storeEpochOfFence(fence: number): number {
-  return storeEpochOfTerm(Math.floor(fence / FENCES_A_TERM));
+  return storeEpochOfTerm(Math.floor(fence / FENCES_PER_TERM));
 }
--- a/packages/ranges/src/inheritance.ts
+++ b/packages/ranges/src/inheritance.ts
@@ -1,13 +1,13 @@
 import {storeEpochOfFence, storeEpochOfTerm} from './fence.js';
-import type {LiveHolding, Standing} from './live-holding.js';
-import type {Holding, RangeTable} from './table.js';
+import type {RangeLease, AssignmentSource} from './range-lease.js';
+import type {RangeAssignment, RangeTable} from './table.js';
 
 /** A holding that a leader takes over, and what is known of its server. */
-export interface InheritedHolding {
-  readonly holding: Holding;
-  readonly standing: Standing;
+export interface InheritedAssignment {
+  readonly assignment: RangeAssignment;
+  readonly source: AssignmentSource;
   /** See `LiveHolding.confirmBy`. */
-  readonly confirmBy: number;
+  readonly confirmDeadline: number;
 }
 
 /**
@@ -21,25 +21,25 @@
  * ```
  */
 export function inheritRecorded(
-  {holdings}: RangeTable,
+  {assignments: holdings}: RangeTable,
   termEpoch: number,
-): readonly InheritedHolding[] {
-  return holdings.map(holding => ({
-    holding,
-    standing: isCurrent(holding, termEpoch) ? 'recorded' : 'unknown',
-    confirmBy: Infinity,
+): readonly InheritedAssignment[] {
+  return holdings.map(assignment => ({
+    assignment: assignment,
+    source: isFromCurrentEpoch(assignment, termEpoch) ? 'recorded' : 'unknown',
+    confirmDeadline: Infinity,
   }));
 }
 
 /** Whether a table was written since the store was restored last. */
 export function isRecordedSinceRestore(
-  {holdings}: RangeTable,
+  {assignments: holdings}: RangeTable,
   termEpoch: number,
 ): boolean {
-  return holdings.some(holding => isCurrent(holding, termEpoch));
+  return holdings.some(holding => isFromCurrentEpoch(holding, termEpoch));
 }
 
-function isCurrent({fence}: Holding, termEpoch: number): boolean {
+function isFromCurrentEpoch({fence}: RangeAssignment, termEpoch: number): boolean {
   return storeEpochOfFence(fence) === storeEpochOfTerm(termEpoch);
 }
 
@@ -50,17 +50,17 @@
  * ends, in wakeful ms.
  */
 export function inheritRemembered(
-  lives: readonly LiveHolding[],
+  lives: readonly RangeLease[],
   actUntil: number,
-): readonly InheritedHolding[] {
+): readonly InheritedAssignment[] {
   return lives.map(live => {
-    const {holding, standing, phase, isServed} = live;
+    const {assignment: assignment, source: source, phase, isServed} = live;
     const isUnrecorded = phase === 'waiting' && !isServed;
-    const isKnown = standing !== 'unknown' && !isUnrecorded;
+    const isKnown = source !== 'unknown' && !isUnrecorded;
     return {
-      holding,
-      standing: isKnown ? 'remembered' : 'unknown',
-      confirmBy: Math.min(live.confirmBy, actUntil),
+      assignment: assignment,
+      source: isKnown ? 'remembered' : 'unknown',
+      confirmDeadline: Math.min(live.confirmDeadline, actUntil),
     };
   });
 }
--- a/packages/ranges/src/key-load.ts
+++ b/packages/ranges/src/key-load.ts
@@ -21,17 +21,17 @@
    */
   rates(waiting: readonly number[]): readonly KeyRate[];
   /** Forgets a part of what is older; called at a steady pace. */
-  fade(elapsedMs: number): void;
+  decay(elapsedMs: number): void;
 }
 
 /** Requests count for about these times, in ms. */
-const USUAL_MS = 12_000;
-const RECENT_MS = 1_500;
+const LONG_TERM_MS = 12_000;
+const SHORT_TERM_MS = 1_500;
 /**
  * Recent requests that say more than the usual load: fewer come together by
  * chance, as a key in the deployments known has under one request a second.
  */
-const MANY = 4;
+const SIGNIFICANT_KEY_COUNT = 4;
 /**
  * Neighbours that are looked at together, as powers of two: few where requests
  * are many, more where they are few. A stretch of keys becomes busy at once,
@@ -39,20 +39,20 @@
  */
 const BLOCK_BITS = [5, 8] as const;
 /** Recent requests for neighbours that say more than the usual load. */
-const MANY_TOGETHER = 8;
+const SIGNIFICANT_BLOCK_COUNT = 8;
 /** Neighbours are busy where they are asked for so many times as often. */
 const BUSY_FACTOR = 2;
 /** Requests that wait should be served within about this time, in ms. */
-const WAITING_MS = 2_000;
+const QUEUE_DRAIN_MS = 2_000;
 /** A key is forgotten below this count. */
-const FORGOTTEN = 0.02;
+const MIN_KEPT_COUNT = 0.02;
 /**
  * Sums over ranges are made anew after this time, in ms. A server that leaves
  * has its keys' load asked for at every other server: summed key by key that
  * took 49 ms a move with 30,000 keys and 59 servers, and the leader fell silent
  * for seconds when nine servers left.
  */
-const SUMS_MS = 100;
+const PREFIX_SUMS_MAX_AGE_MS = 100;
 
 /**
  * Counts that fade exponentially, one for each key that is asked for.
@@ -82,32 +82,32 @@
 
   // What was watched for a short time only is scaled up to a rate.
   const usualSeconds = (): number => {
-    const share = 1 - Math.exp(-observedMs / USUAL_MS);
-    return Math.max(RECENT_MS, USUAL_MS * share) / 1000;
+    const share = 1 - Math.exp(-observedMs / LONG_TERM_MS);
+    return Math.max(SHORT_TERM_MS, LONG_TERM_MS * share) / 1000;
   };
 
   const isBusyAround = (key: number, seconds: number): boolean =>
     levels.some(level => {
       const block = key >> level.bits;
       const count = level.recent[block]!;
-      if (count < MANY_TOGETHER) return false;
-      const usualCount = (level.usual[block]! / seconds) * (RECENT_MS / 1000);
+      if (count < SIGNIFICANT_BLOCK_COUNT) return false;
+      const usualCount = (level.usual[block]! / seconds) * (SHORT_TERM_MS / 1000);
       return count > usualCount * BUSY_FACTOR;
     });
 
   const rateAt = (key: number, seconds: number): number => {
     const usualRate = usual[key]! / seconds;
-    const recentRate = recent[key]! / (RECENT_MS / 1000);
-    if (recent[key]! >= MANY || isBusyAround(key, seconds)) {
+    const recentRate = recent[key]! / (SHORT_TERM_MS / 1000);
+    if (recent[key]! >= SIGNIFICANT_KEY_COUNT || isBusyAround(key, seconds)) {
       return Math.max(usualRate, recentRate);
     }
-    const expected = (usualRate * RECENT_MS) / 1000;
-    const hasCooled = expected >= MANY && recent[key]! < expected / MANY;
+    const expected = (usualRate * SHORT_TERM_MS) / 1000;
+    const hasCooled = expected >= SIGNIFICANT_KEY_COUNT && recent[key]! < expected / SIGNIFICANT_KEY_COUNT;
     return hasCooled ? recentRate : usualRate;
   };
 
   const sumUp = (): void => {
-    if (observedMs - summedMs < SUMS_MS) return;
+    if (observedMs - summedMs < PREFIX_SUMS_MAX_AGE_MS) return;
     summedMs = observedMs;
     const seconds = usualSeconds();
     let sum = 0;
@@ -136,7 +136,7 @@
     rates(waiting) {
       const added = new Map<number, number>();
       for (const key of waiting) {
-        added.set(key, (added.get(key) ?? 0) + 1000 / WAITING_MS);
+        added.set(key, (added.get(key) ?? 0) + 1000 / QUEUE_DRAIN_MS);
       }
       const seconds = usualSeconds();
       const rates: KeyRate[] = [];
@@ -147,15 +147,15 @@
       }
       return rates;
     },
-    fade(elapsedMs) {
+    decay(elapsedMs) {
       observedMs += elapsedMs;
-      const usualKept = Math.exp(-elapsedMs / USUAL_MS);
-      const recentKept = Math.exp(-elapsedMs / RECENT_MS);
+      const usualKept = Math.exp(-elapsedMs / LONG_TERM_MS);
+      const recentKept = Math.exp(-elapsedMs / SHORT_TERM_MS);
       for (let key = 0; key < KEY_COUNT; key++) {
         if (usual[key] === 0) continue;
         usual[key]! *= usualKept;
         recent[key]! *= recentKept;
-        if (usual[key]! < FORGOTTEN) usual[key] = recent[key] = 0;
+        if (usual[key]! < MIN_KEPT_COUNT) usual[key] = recent[key] = 0;
       }
       for (const level of levels) {
         for (let block = 0; block < level.usual.length; block++) {
--- a/packages/ranges/src/lead-state.ts
+++ b/packages/ranges/src/leader-state.ts
@@ -1,47 +1,47 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import type {InheritedHolding} from './inheritance.js';
+import type {InheritedAssignment} from './inheritance.js';
 import type {KeyLoad} from './key-load.js';
-import type {Ledger} from './ledger.js';
-import type {LiveHolding} from './live-holding.js';
-import type {OrderEnd, Orders} from './orders.js';
-import type {PlacedServer} from './planner.js';
-import type {Holding} from './table.js';
-import type {HoldTiming} from './timing.js';
+import type {TableStore} from './table-store.js';
+import type {RangeLease} from './range-lease.js';
+import type {LeaseCallResult, LeaseClient} from './lease-client.js';
+import type {ServerCapacity} from './planner.js';
+import type {RangeAssignment} from './table.js';
+import type {LeaseTiming} from './lease-timing.js';
 
 /** A server of the service, as the leader knows it now. */
-export interface LedServer extends PlacedServer {
+export interface ListedServer extends ServerCapacity {
   readonly address: string;
 }
 
 /** What leading a service needs. */
-export interface LeadConfig {
+export interface ServiceLeaderConfig {
   readonly service: string;
   /** The holdings that an earlier leader left; null where there are none. */
-  readonly inherited: readonly InheritedHolding[] | null;
+  readonly inherited: readonly InheritedAssignment[] | null;
   /**
    * Monotonic time, in ms, until which leaders of earlier epochs of the store's
    * history may act.
    */
-  readonly earlierActUntil: number;
+  readonly earlierLeadersActUntil: number;
   /** Whether keys that no record names are surely held by nobody. */
-  isUnrecordedFree(): boolean;
-  readonly ledger: Pick<Ledger, 'save'>;
-  readonly orders: Orders;
+  areUnrecordedKeysFree(): boolean;
+  readonly tableStore: Pick<TableStore, 'save'>;
+  readonly leaseClient: LeaseClient;
   readonly clock: Clock;
-  readonly timing: HoldTiming;
+  readonly timing: LeaseTiming;
   /** Servers in the list that don't leave. */
-  servers(): readonly LedServer[];
+  servers(): readonly ListedServer[];
   /** Whether the run of a server has provably ended. */
   hasEnded(server: string): boolean;
   /** Whether the servers that there are are likely to be known by now. */
   isListSettled(): boolean;
   nextFence(): number;
   /** Time that also passes while the host is suspended, in ms. */
-  wakefulNow(): number;
+  suspendAwareNow(): number;
   /** Whether this leader may still act. */
   mayAct(): boolean;
   /** Keys whose requests wait for a place now, one for each. */
-  waitingKeys(): readonly number[];
+  queuedKeys(): readonly number[];
   /** A range is served, or was cut. */
   onChange(): void;
   /** A range is served no more, and its server will be told. */
@@ -67,24 +67,24 @@
   | 'load';
 
 /** A service under way with its leader. */
-export interface Lead extends LeadConfig {
-  lives: LiveHolding[];
+export interface LeaderState extends ServiceLeaderConfig {
+  leases: RangeLease[];
   readonly load: KeyLoad;
   isStopped: boolean;
   /** Moves for the sake of load under way, and the servers they go to. */
-  moves: number;
-  readonly targets: Set<string>;
-  planAt: number;
-  fadedAt: number;
+  activeMoves: number;
+  readonly moveTargets: Set<string>;
+  nextPlanAt: number;
+  lastDecayAt: number;
   save(): Promise<boolean>;
   /** The holding's server lost it, or can't be told to go on. */
-  lose(live: LiveHolding, why: MoveReason): void;
+  reassign(live: RangeLease, why: MoveReason): void;
 }
 
 /** Grants may go out once the holdings are on record. */
-export async function record(
-  lead: Lead,
-  lives: readonly LiveHolding[],
+export async function saveAssignments(
+  lead: LeaderState,
+  lives: readonly RangeLease[],
 ): Promise<boolean> {
   const isSaved = await lead.save();
   if (!isSaved) return false;
@@ -94,24 +94,24 @@
   return true;
 }
 
-export function holdingsOf(lead: Lead, server: string): readonly LiveHolding[] {
-  return lead.lives.filter(({holding}) => holding.server === server);
+export function leasesOf(lead: LeaderState, server: string): readonly RangeLease[] {
+  return lead.leases.filter(({assignment: holding}) => holding.server === server);
 }
 
 /** A holding as events tell it. */
-export function toFields(
-  holding: Holding,
+export function toEventFields(
+  holding: RangeAssignment,
 ): Record<string, string | number | null> {
   const {from, to, server, fence} = holding;
   return {from, to, server, fence};
 }
 
 /** Tells how an order to a server ended. */
-export function emitOrder(
-  lead: Lead,
+export function emitCallResult(
+  lead: LeaderState,
   event: string,
-  holding: Holding,
-  {kind}: OrderEnd,
+  holding: RangeAssignment,
+  {kind}: LeaseCallResult,
 ): void {
-  lead.emit(event, {...toFields(holding), outcome: kind});
+  lead.emit(event, {...toEventFields(holding), outcome: kind});
 }
--- a/packages/ranges/src/orders.ts
+++ b/packages/ranges/src/lease-client.ts
@@ -1,7 +1,7 @@
-import type {Holding} from './table.js';
+import type {RangeAssignment} from './table.js';
 
 /** How an order to a server ended. */
-export type OrderEnd =
+export type LeaseCallResult =
   | {readonly kind: 'done'; readonly handover: string | null}
   /** The server has seen a higher fence on some of the keys. */
   | {readonly kind: 'fenced'}
@@ -13,9 +13,9 @@
   | {readonly kind: 'unproved'};
 
 /** Orders to servers about keys. */
-export interface Orders {
+export interface LeaseClient {
   /** Grants a range, or renews it where the same call was made before. */
-  grant(holding: Holding, holdMs: number, withinMs: number): Promise<OrderEnd>;
+  grant(holding: RangeAssignment, holdMs: number, withinMs: number): Promise<LeaseCallResult>;
   /** Takes a range back; answered when its running work has ended. */
-  release(holding: Holding, withinMs: number): Promise<OrderEnd>;
+  release(holding: RangeAssignment, withinMs: number): Promise<LeaseCallResult>;
 }
--- a/packages/ranges/src/timing.ts
+++ b/packages/ranges/src/lease-timing.ts
@@ -4,20 +4,20 @@
  * found and to renew: at least 1 s for the group to notice, 0.3 s for the
  * next join, and a few exchanges with the store and the servers.
  */
-const HOLD_MS = 3_600;
+const LEASE_MS = 3_600;
 /** Servers' clocks may run 2 % slow. */
-const CLOCK_DRIFT = 0.02;
+const MAX_CLOCK_DRIFT = 0.02;
 /** For timers that fire late and messages under way, in ms. */
-const LAPSE_MARGIN_MS = 150;
+const EXPIRY_MARGIN_MS = 150;
 /** Grants are renewed after this time, in ms: three chances in a hold. */
-const RENEW_MS = 1_100;
+const RENEW_AFTER_MS = 1_100;
 /** A grant without an answer by then counts as unproved, in ms. */
-const GRANT_WITHIN_MS = 700;
+const GRANT_TIMEOUT_MS = 700;
 /**
  * A release is answered when running work has ended: the longest work of the
  * deployments known takes some 5 s. After that the hold has lapsed anyway.
  */
-export const RELEASE_WITHIN_MS = 6_000;
+export const RELEASE_TIMEOUT_MS = 6_000;
 /**
  * A leader that can't reach the store acts on for this time, in ms: longer
  * than the outages that deployments report (9 s), since nobody else can
@@ -27,15 +27,15 @@
 export const AUTHORITY_MS = 12_000;
 
 /** Times of a service's holds, for one deployment. */
-export interface HoldTiming {
+export interface LeaseTiming {
   /** What a grant asks for, in ms. */
-  readonly holdMs: number;
+  readonly leaseMs: number;
   /** Grants are renewed after this time, in ms. */
-  readonly renewMs: number;
+  readonly renewAfterMs: number;
   /** A grant without an answer by then counts as unproved, in ms. */
-  readonly grantWithinMs: number;
+  readonly grantTimeoutMs: number;
   /** When a hold granted at `at` at the latest has surely ended. */
-  lapseOf(at: number): number;
+  expiryOf(at: number): number;
 }
 
 /**
@@ -48,13 +48,13 @@
  * const lapseAt = timing.lapseOf(clock.now());
  * ```
  */
-export function createTiming(holdMaxMs: number): HoldTiming {
-  const holdMs = Math.min(HOLD_MS, holdMaxMs);
-  const share = holdMs / HOLD_MS;
+export function createLeaseTiming(holdMaxMs: number): LeaseTiming {
+  const holdMs = Math.min(LEASE_MS, holdMaxMs);
+  const share = holdMs / LEASE_MS;
   return {
-    holdMs,
-    renewMs: RENEW_MS * share,
-    grantWithinMs: GRANT_WITHIN_MS * share,
-    lapseOf: at => at + holdMs * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_MS,
+    leaseMs: holdMs,
+    renewAfterMs: RENEW_AFTER_MS * share,
+    grantTimeoutMs: GRANT_TIMEOUT_MS * share,
+    expiryOf: at => at + holdMs * (1 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN_MS,
   };
 }
--- a/packages/ranges/src/planner.ts
+++ b/packages/ranges/src/planner.ts
@@ -1,8 +1,8 @@
 import type {KeyRate} from './key-load.js';
-import {KEY_COUNT, sizeOf, type Holding, type KeyRange} from './table.js';
+import {KEY_COUNT, rangeSize, type RangeAssignment, type KeyRange} from './table.js';
 
 /** A server that may hold keys, as placement sees it. */
-export interface PlacedServer {
+export interface ServerCapacity {
   readonly id: string;
   readonly slots: number;
   /** Time for one request without waiting, in ms. */
@@ -23,36 +23,36 @@
  * a second of a server, counts stray that far by chance. Of many servers the
  * extremes stray further, as the root of the logarithm of their number.
  */
-const GAP = 0.137;
+const MIN_UTILIZATION_GAP = 0.137;
 /** A move is worth its pause only for this many requests a second. */
-const MIN_RATE = 0.15;
+const MIN_MOVED_RATE = 0.15;
 /** A segment may have this share of the wanted rate, from and to. */
-const LEAST_SHARE = 0.4;
-const MOST_SHARE = 1.15;
+const MIN_TARGET_RATIO = 0.4;
+const MAX_TARGET_RATIO = 1.15;
 /**
  * What moved keys cost, for the size of all keys, and what each further
  * holding costs in renewals, against a rate that misses the wanted one.
  */
 const SIZE_COST = 6;
-const PIECE_COST = 0.12;
+const SPLIT_COST = 0.12;
 /** Keys without load that go along, so that fewer holdings are left. */
-const ROUND_KEYS = 256;
+const MAX_IDLE_KEYS = 256;
 
 /** The share of its slots that a server's keys keep busy. */
-export function busyShare(server: PlacedServer, rate: number): number {
+export function utilization(server: ServerCapacity, rate: number): number {
   return (rate * server.serviceMs) / 1000 / server.slots;
 }
 
 /** A holding with its own keys' load. */
-interface Loaded {
-  readonly holding: Holding;
+interface AssignmentLoad {
+  readonly assignment: RangeAssignment;
   readonly rates: readonly KeyRate[];
 }
 
 /** What a plan begins with. */
-export interface Unplanned {
-  readonly holdings: readonly Holding[];
-  readonly servers: readonly PlacedServer[];
+export interface PlanInput {
+  readonly assignments: readonly RangeAssignment[];
+  readonly servers: readonly ServerCapacity[];
   readonly rates: readonly KeyRate[];
 }
 
@@ -76,17 +76,17 @@
  * ```
  */
 export function planMoves(
-  {holdings, servers, rates}: Unplanned,
+  {assignments: holdings, servers, rates}: PlanInput,
   most: number,
 ): Plan {
-  const loaded = spread(holdings, rates);
-  const totals = totalRates(loaded);
-  const shareOf = (server: PlacedServer): number =>
-    busyShare(server, totals.get(server.id) ?? 0);
+  const loaded = ratesByAssignment(holdings, rates);
+  const totals = rateByServer(loaded);
+  const shareOf = (server: ServerCapacity): number =>
+    utilization(server, totals.get(server.id) ?? 0);
   const sorted = servers
     .filter(({isOpen}) => isOpen)
     .sort((a, b) => shareOf(b) - shareOf(a));
-  const minGap = GAP * Math.sqrt(Math.log(sorted.length));
+  const minGap = MIN_UTILIZATION_GAP * Math.sqrt(Math.log(sorted.length));
   const moves: PlannedMove[] = [];
   let isUrgent = false;
   let idlestAt = sorted.length - 1;
@@ -95,8 +95,8 @@
     const idlest = sorted[idlestAt]!;
     const gap = shareOf(busiest) - shareOf(idlest);
     if (gap < minGap) break;
-    const own = loaded.filter(({holding}) => holding.server === busiest.id);
-    const range = bestSegment(own, rateToEven(busiest, idlest, gap));
+    const own = loaded.filter(({assignment: holding}) => holding.server === busiest.id);
+    const range = bestSegment(own, rateToEqualize(busiest, idlest, gap));
     if (range === null) continue;
     moves.push({range, from: busiest.id, to: idlest.id});
     isUrgent ||= shareOf(busiest) > 1;
@@ -105,23 +105,23 @@
   return {moves, isUrgent};
 }
 
-function spread(
-  holdings: readonly Holding[],
+function ratesByAssignment(
+  holdings: readonly RangeAssignment[],
   rates: readonly KeyRate[],
-): readonly Loaded[] {
+): readonly AssignmentLoad[] {
   const sorted = [...holdings].sort((a, b) => a.from - b.from);
   let at = 0;
-  return sorted.map(holding => {
-    while (at < rates.length && rates[at]!.key < holding.from) at++;
+  return sorted.map(assignment => {
+    while (at < rates.length && rates[at]!.key < assignment.from) at++;
     const first = at;
-    while (at < rates.length && rates[at]!.key <= holding.to) at++;
-    return {holding, rates: rates.slice(first, at)};
+    while (at < rates.length && rates[at]!.key <= assignment.to) at++;
+    return {assignment: assignment, rates: rates.slice(first, at)};
   });
 }
 
-function totalRates(loaded: readonly Loaded[]): ReadonlyMap<string, number> {
+function rateByServer(loaded: readonly AssignmentLoad[]): ReadonlyMap<string, number> {
   const totals = new Map<string, number>();
-  for (const {holding, rates} of loaded) {
+  for (const {assignment: holding, rates} of loaded) {
     const {server} = holding;
     if (server === null) continue;
     const sum = rates.reduce((total, {rate}) => total + rate, 0);
@@ -130,9 +130,9 @@
   return totals;
 }
 
-function rateToEven(
-  busiest: PlacedServer,
-  idlest: PlacedServer,
+function rateToEqualize(
+  busiest: ServerCapacity,
+  idlest: ServerCapacity,
   gap: number,
 ): number {
   const perRate =
@@ -143,18 +143,18 @@
 
 /** The segment that fits the wanted rate best for the keys that it moves. */
 function bestSegment(
-  loaded: readonly Loaded[],
+  loaded: readonly AssignmentLoad[],
   wanted: number,
 ): KeyRange | null {
   let best: KeyRange | null = null;
   let bestCost = Infinity;
-  for (const {holding, rates} of loaded) {
+  for (const {assignment: holding, rates} of loaded) {
     let end = 0;
     let sum = 0;
     for (let first = 0; first < rates.length; first++) {
       while (end < rates.length) {
         const more = sum + rates[end]!.rate;
-        if (more > wanted * MOST_SHARE) break;
+        if (more > wanted * MAX_TARGET_RATIO) break;
         sum = more;
         end++;
       }
@@ -162,10 +162,10 @@
         const from = rates[first]!.key;
         const last = rates[end - 1]!.key;
         const range = {
-          from: first === 0 ? roundOut(from, holding.from) : from,
-          to: end === rates.length ? roundOut(last, holding.to) : last,
+          from: first === 0 ? extendToEdge(from, holding.from) : from,
+          to: end === rates.length ? extendToEdge(last, holding.to) : last,
         };
-        const cost = costOf(holding, range, sum, wanted);
+        const cost = segmentCost(holding, range, sum, wanted);
         if (cost < bestCost) {
           best = range;
           bestCost = cost;
@@ -179,15 +179,15 @@
 }
 
 function isWorthwhile(rate: number, wanted: number): boolean {
-  return rate >= Math.max(MIN_RATE, wanted * LEAST_SHARE);
+  return rate >= Math.max(MIN_MOVED_RATE, wanted * MIN_TARGET_RATIO);
 }
 
 /** The holding's edge, where only few keys without load lie between. */
-function roundOut(key: number, edge: number): number {
-  return Math.abs(edge - key) <= ROUND_KEYS ? edge : key;
+function extendToEdge(key: number, edge: number): number {
+  return Math.abs(edge - key) <= MAX_IDLE_KEYS ? edge : key;
 }
 
-function costOf(
+function segmentCost(
   holding: KeyRange,
   range: KeyRange,
   rate: number,
@@ -196,6 +196,6 @@
   const pieces =
     Number(range.from > holding.from) + Number(range.to < holding.to);
   const miss = Math.abs(wanted - rate) / wanted;
-  const size = sizeOf(range) / KEY_COUNT;
-  return miss + size * SIZE_COST + pieces * PIECE_COST;
+  const size = rangeSize(range) / KEY_COUNT;
+  return miss + size * SIZE_COST + pieces * SPLIT_COST;
 }
--- a/packages/ranges/src/live-holding.ts
+++ b/packages/ranges/src/range-lease.ts
@@ -1,7 +1,7 @@
-import type {Holding, KeyRange} from './table.js';
+import type {RangeAssignment, KeyRange} from './table.js';
 
 /** What a leader knows of a holding's server. */
-export type Standing =
+export type AssignmentSource =
   /** Recorded in the store's present history. */
   | 'recorded'
   /**
@@ -13,87 +13,87 @@
   | 'unknown';
 
 /** A holding as its leader keeps it. */
-export interface LiveHolding {
-  holding: Holding;
-  standing: Standing;
+export interface RangeLease {
+  assignment: RangeAssignment;
+  source: AssignmentSource;
   /** `waiting`: for its record; `moving`: to another server. */
   phase: 'waiting' | 'held' | 'moving';
   /** Whether requests may go to the server. */
   isServed: boolean;
   /** A grant is under way; orders on one holding must not overtake another. */
-  order: Promise<void> | null;
+  pendingCall: Promise<void> | null;
   /** Monotonic time of the next grant, in ms. */
   renewAt: number;
   /** By this monotonic time the server's hold has surely ended, in ms. */
-  lapseAt: number;
+  expiresAt: number;
   /** Until then a grant without an answer may still be carried out, in ms. */
-  unprovedUntil: number;
+  lateGrantUntil: number;
   /**
    * Until then an earlier leader's grant may still be carried out, in ms; 0
    * once the server has seen a fence of this leader's for the range.
    */
-  foreignUntil: number;
+  earlierLeaderGrantUntil: number;
   /**
    * A remembered holding must be confirmed by then, in wakeful ms: this router's
    * authority in its term before the restore ends.
    */
-  confirmBy: number;
+  confirmDeadline: number;
 }
 
 /** A holding that nobody has granted yet. */
-export function createLive(holding: Holding, now: number): LiveHolding {
+export function createRangeLease(holding: RangeAssignment, now: number): RangeLease {
   return {
-    holding,
-    standing: 'recorded',
+    assignment: holding,
+    source: 'recorded',
     phase: 'waiting',
     isServed: false,
-    order: null,
+    pendingCall: null,
     renewAt: now,
-    lapseAt: now,
-    unprovedUntil: 0,
-    foreignUntil: 0,
-    confirmBy: Infinity,
+    expiresAt: now,
+    lateGrantUntil: 0,
+    earlierLeaderGrantUntil: 0,
+    confirmDeadline: Infinity,
   };
 }
 
 /** Whether the server surely holds it, and nothing is under way that moves it. */
-export function isSettled(live: LiveHolding, now: number): boolean {
-  const {phase, standing, isServed, unprovedUntil} = live;
+export function isSettled(live: RangeLease, now: number): boolean {
+  const {phase, source: standing, isServed, lateGrantUntil: unprovedUntil} = live;
   if (phase !== 'held' || standing !== 'recorded') return false;
   return isServed && unprovedUntil <= now;
 }
 
 /** A part of a holding that the same server goes on holding. */
-export function createPart(
-  whole: LiveHolding,
+export function createPartialLease(
+  whole: RangeLease,
   {from, to}: KeyRange,
   fence: number,
   now: number,
-): LiveHolding {
+): RangeLease {
   return {
     ...whole,
-    holding: {...whole.holding, from, to, fence},
+    assignment: {...whole.assignment, from, to, fence},
     phase: 'waiting',
-    order: null,
+    pendingCall: null,
     renewAt: now,
   };
 }
 
 /** Two neighbours of one server as one holding. */
-export function createMerged(
-  left: LiveHolding,
-  right: LiveHolding,
+export function createMergedLease(
+  left: RangeLease,
+  right: RangeLease,
   fence: number,
   now: number,
-): LiveHolding {
+): RangeLease {
   return {
     ...left,
-    holding: {...left.holding, to: right.holding.to, fence, handover: null},
+    assignment: {...left.assignment, to: right.assignment.to, fence, handover: null},
     phase: 'waiting',
-    order: null,
+    pendingCall: null,
     renewAt: now,
-    lapseAt: Math.max(left.lapseAt, right.lapseAt),
-    unprovedUntil: Math.max(left.unprovedUntil, right.unprovedUntil),
-    foreignUntil: Math.max(left.foreignUntil, right.foreignUntil),
+    expiresAt: Math.max(left.expiresAt, right.expiresAt),
+    lateGrantUntil: Math.max(left.lateGrantUntil, right.lateGrantUntil),
+    earlierLeaderGrantUntil: Math.max(left.earlierLeaderGrantUntil, right.earlierLeaderGrantUntil),
   };
 }
--- a/packages/ranges/src/ledger.ts
+++ b/packages/ranges/src/table-store.ts
@@ -1,7 +1,7 @@
 import type {RangeTable} from './table.js';
 
 /** How writing a table ended. */
-export type SaveEnd =
+export type SaveResult =
   | 'saved'
   /** A newer leader has begun: this one must stop. */
   | 'fenced'
@@ -19,18 +19,18 @@
  * begun, nothing that an earlier one writes is accepted, however late it
  * arrives.
  */
-export interface Ledger {
+export interface TableStore {
   /**
    * Shuts earlier leaders out and records who begins, by its address for the
    * other routers; yields this leader's epoch, or null. Epochs rise over
    * restores of the store (`fence.ts`).
    */
-  begin(address: string): Promise<number | null>;
+  beginTerm(address: string): Promise<number | null>;
   /**
    * Whether nobody began after this leader, at the time of the question; null
    * where that isn't known, as after a restore of the store.
    */
-  isNewest(): Promise<boolean | null>;
+  isNewestTerm(): Promise<boolean | null>;
   /** Who began last. */
   lastLeader(): Promise<LeaderRead>;
   /** The newest tables; null where they can't be read. */
@@ -39,5 +39,5 @@
    * Writes a table; one call at a time. It fails once the store was restored:
    * what is saved stands in the history in which the term began.
    */
-  save(table: RangeTable): Promise<SaveEnd>;
+  save(table: RangeTable): Promise<SaveResult>;
 }
--- a/packages/ranges/src/save-loop.ts
+++ b/packages/ranges/src/table-writer.ts
@@ -1,9 +1,9 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
-import type {Ledger, SaveEnd} from './ledger.js';
+import type {TableStore, SaveResult} from './table-store.js';
 import type {RangeTable} from './table.js';
 
 /** Writes a service's table, one call at a time. */
-export interface SaveLoop {
+export interface TableWriter {
   /**
    * Resolves with true once the table as it is now, or a newer one, is
    * written; with false once this leader is shut out or has stopped.
@@ -13,7 +13,7 @@
 }
 
 /** Pause before a write that failed is tried again, in ms. */
-const RETRY_MS = 150;
+const RETRY_DELAY_MS = 150;
 
 /**
  * Makes the writer of the table that `current` yields. Changes made while a
@@ -25,26 +25,26 @@
  * if (await loop.save()) grant();
  * ```
  */
-export function createSaveLoop(
-  ledger: Pick<Ledger, 'save'>,
+export function createTableWriter(
+  ledger: Pick<TableStore, 'save'>,
   clock: Clock,
   current: () => RangeTable,
   onFenced: () => void,
-): SaveLoop {
+): TableWriter {
   let isStopped = false;
   let running: Promise<boolean> | null = null;
   let queued: Promise<boolean> | null = null;
 
   const write = async (): Promise<boolean> => {
     while (!isStopped) {
-      const end: SaveEnd = await ledger.save(current());
+      const end: SaveResult = await ledger.save(current());
       if (end === 'saved') return true;
       if (end === 'fenced') {
         isStopped = true;
         onFenced();
         return false;
       }
-      await sleep(clock, RETRY_MS);
+      await sleep(clock, RETRY_DELAY_MS);
     }
     return false;
   };
--- a/packages/ranges/src/table.ts
+++ b/packages/ranges/src/table.ts
@@ -9,7 +9,7 @@
 }
 
 /** A range and the server that may hold it. */
-export interface Holding extends KeyRange {
+export interface RangeAssignment extends KeyRange {
   /** The server's id; null where no server may hold the range. */
   readonly server: string | null;
   /** `ip:port` of that server. */
@@ -23,7 +23,7 @@
 /** Who may hold a service's keys; the holdings cover all keys in order. */
 export interface RangeTable {
   readonly service: string;
-  readonly holdings: readonly Holding[];
+  readonly assignments: readonly RangeAssignment[];
 }
 
 /** A range as routers see it: the server that serves it, or null. */
@@ -49,7 +49,7 @@
 }
 
 /** Cuts all keys into `count` ranges of about the same size. */
-export function cutEvenly(count: number): readonly KeyRange[] {
+export function splitEvenly(count: number): readonly KeyRange[] {
   const size = KEY_COUNT / count;
   return Array.from({length: count}, (_, at) => ({
     from: Math.round(at * size),
@@ -57,6 +57,6 @@
   }));
 }
 
-export function sizeOf({from, to}: KeyRange): number {
+export function rangeSize({from, to}: KeyRange): number {
   return to - from + 1;
 }
--- a/packages/ranges/test/fake-world.ts
+++ b/packages/ranges/test/fake-cluster.ts
@@ -1,10 +1,10 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import type {Ledger, SaveEnd} from '@banyandrum/ranges/ledger.js';
-import type {OrderEnd, Orders} from '@banyandrum/ranges/orders.js';
-import type {Holding, RangeTable} from '@banyandrum/ranges/table.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/table-store.js';
+import type {LeaseCallResult, LeaseClient} from '@banyandrum/ranges/lease-client.js';
+import type {RangeAssignment, RangeTable} from '@banyandrum/ranges/table.js';
 
 /** What a fake server believes to hold. */
-interface Hold {
+interface FakeLease {
   readonly from: number;
   readonly to: number;
   readonly fence: number;
@@ -17,14 +17,14 @@
   readonly address: string;
   isUp: boolean;
   /** Leaders whose orders don't get through. */
-  readonly cutFrom: Set<number>;
-  holds: Hold[];
+  readonly unreachableBy: Set<number>;
+  leases: FakeLease[];
   /** The highest fence that each part of the keys was ordered with. */
-  seen: Hold[];
+  seenFences: FakeLease[];
 }
 
 /** How often things go wrong, 0 to 1. */
-export interface Luck {
+export interface FaultRates {
   /** An order is carried out 2 to 12 s later, without an answer. */
   late: number;
   /** An order's answer is lost. */
@@ -34,18 +34,18 @@
 }
 
 /** Servers, the ledger, and a check that no key has two holders. */
-export interface FakeWorld {
+export interface FakeCluster {
   readonly servers: FakeServer[];
-  readonly luck: Luck;
+  readonly faultRates: FaultRates;
   readonly violations: string[];
-  ordersFor(leader: number): Orders;
-  createLedger(): Ledger;
+  createLeaseClient(leader: number): LeaseClient;
+  createTableStore(): TableStore;
   /** Servers that hold the key now. */
   holdersOf(key: number): readonly string[];
 }
 
 /** Clocks of servers that measure holds run up to this much slow. */
-const SLOW = 1.02;
+const MAX_CLOCK_SLOWDOWN = 1.02;
 const STEP_KEYS = 512;
 
 /**
@@ -56,20 +56,20 @@
  * const world = createFakeWorld(clock, random, ['s1', 's2']);
  * ```
  */
-export function createFakeWorld(
+export function createFakeCluster(
   clock: Clock,
   random: () => number,
   ids: readonly string[],
-): FakeWorld {
+): FakeCluster {
   const servers: FakeServer[] = ids.map((id, at) => ({
     id,
     address: `10.0.0.${at}:80`,
     isUp: true,
-    cutFrom: new Set(),
-    holds: [],
-    seen: [],
+    unreachableBy: new Set(),
+    leases: [],
+    seenFences: [],
   }));
-  const luck: Luck = {late: 0, unanswered: 0, unsaved: 0};
+  const luck: FaultRates = {late: 0, unanswered: 0, unsaved: 0};
   const violations: string[] = [];
   const granted = new Map<number, {fence: number; server: string}>();
   let tables = new Map<string, RangeTable>();
@@ -78,14 +78,14 @@
 
   const holdsKey = (server: FakeServer, key: number): boolean =>
     server.isUp &&
-    server.holds.some(
+    server.leases.some(
       ({from, to, until}) => from <= key && key <= to && until > clock.now(),
     );
 
   const holdersOf = (key: number): readonly string[] =>
     servers.filter(server => holdsKey(server, key)).map(({id}) => id);
 
-  const check = ({from, to, fence}: Holding, server: string): void => {
+  const check = ({from, to, fence}: RangeAssignment, server: string): void => {
     for (let key = from; key <= to; key += STEP_KEYS) {
       const holders = holdersOf(key);
       if (holders.length > 1) {
@@ -100,37 +100,37 @@
     }
   };
 
-  const overlaps = (a: Hold, b: Holding): boolean =>
+  const overlaps = (a: FakeLease, b: RangeAssignment): boolean =>
     a.from <= b.to && b.from <= a.to;
 
   const applyGrant = (
     server: FakeServer,
-    holding: Holding,
+    holding: RangeAssignment,
     until: number,
   ): boolean => {
     const {from, to, fence} = holding;
-    if (server.seen.some(seen => overlaps(seen, holding) && seen.fence > fence))
+    if (server.seenFences.some(seen => overlaps(seen, holding) && seen.fence > fence))
       return false;
-    server.holds = server.holds.flatMap(hold => without(hold, holding));
+    server.leases = server.leases.flatMap(hold => subtractRange(hold, holding));
     const hold = {from, to, fence, until};
-    server.holds.push(hold);
-    server.seen.push(hold);
+    server.leases.push(hold);
+    server.seenFences.push(hold);
     if (until > clock.now()) check(holding, server.id);
     return true;
   };
 
-  const applyRelease = (server: FakeServer, holding: Holding): void => {
-    server.holds = server.holds.flatMap(hold => without(hold, holding));
+  const applyRelease = (server: FakeServer, holding: RangeAssignment): void => {
+    server.leases = server.leases.flatMap(hold => subtractRange(hold, holding));
   };
 
   const carryOut = (
     leader: number,
-    holding: Holding,
+    holding: RangeAssignment,
     apply: (server: FakeServer, arrivedAt: number) => boolean,
     withinMs: number,
-  ): Promise<OrderEnd> =>
+  ): Promise<LeaseCallResult> =>
     new Promise(resolve => {
-      const server = servers.find(({address, id, isUp, cutFrom}) => {
+      const server = servers.find(({address, id, isUp, unreachableBy: cutFrom}) => {
         const isIt = address === holding.address && id === holding.server;
         return isIt && isUp && !cutFrom.has(leader);
       });
@@ -165,17 +165,17 @@
 
   return {
     servers,
-    luck,
+    faultRates: luck,
     violations,
     holdersOf,
-    ordersFor: leader => ({
+    createLeaseClient: leader => ({
       grant(holding, holdMs, withinMs) {
         return carryOut(
           leader,
           holding,
           // The time counts from the arrival, however late it is obeyed.
           (server, arrivedAt) =>
-            applyGrant(server, holding, arrivedAt + holdMs * SLOW),
+            applyGrant(server, holding, arrivedAt + holdMs * MAX_CLOCK_SLOWDOWN),
           withinMs,
         );
       },
@@ -190,19 +190,19 @@
           withinMs,
         ),
     }),
-    createLedger() {
+    createTableStore() {
       let term = 0;
       return {
-        async begin() {
+        async beginTerm() {
           term = ++terms;
           owner = term;
           return term;
         },
-        isNewest: async () => owner === term,
+        isNewestTerm: async () => owner === term,
         lastLeader: async () => ({kind: 'read', address: null}),
         load: async () => [...tables.values()],
         save: table =>
-          new Promise<SaveEnd>(resolve => {
+          new Promise<SaveResult>(resolve => {
             clock.after(2 + random() * 8, () => {
               if (owner !== term) return resolve('fenced');
               if (random() < luck.unsaved) return resolve('failed');
@@ -215,7 +215,7 @@
   };
 }
 
-function without(hold: Hold, {from, to}: Holding): readonly Hold[] {
+function subtractRange(hold: FakeLease, {from, to}: RangeAssignment): readonly FakeLease[] {
   if (hold.to < from || to < hold.from) return [hold];
   const left = {...hold, to: from - 1};
   const right = {...hold, from: to + 1};
--- a/packages/ranges/test/scene.ts
+++ b/packages/ranges/test/harness.ts
@@ -1,72 +1,72 @@
 import {inheritRecorded} from '@banyandrum/ranges/inheritance.js';
 import {
-  leadService,
-  type ServiceLead,
-} from '@banyandrum/ranges/lead-service.js';
-import {AUTHORITY_MS, createTiming} from '@banyandrum/ranges/timing.js';
+  createServiceLeader,
+  type ServiceLeader,
+} from '@banyandrum/ranges/service-leader.js';
+import {AUTHORITY_MS, createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {
   createManualClock,
   type ManualClock,
 } from '@banyandrum/standins/manual-clock.js';
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
-import {createFakeWorld, type FakeWorld} from './fake-world.js';
+import {createFakeCluster, type FakeCluster} from './fake-cluster.js';
 
 const TICK_MS = 50;
-const FENCES_A_TERM = 4_096;
+const FENCES_PER_TERM = 4_096;
 
 /** A leader of the scene. */
-export interface Leader {
-  readonly lead: ServiceLead;
+export interface TestLeader {
+  readonly serviceLeader: ServiceLeader;
   /** Whether its process stands still. */
   isFrozen: boolean;
-  isOver: boolean;
+  isReplaced: boolean;
   /** When another was chosen in its place, in ms; it can't tell. */
   replacedAt: number;
 }
 
 /** Leaders and the world that they act on. */
-export interface Scene {
+export interface Harness {
   readonly clock: ManualClock;
-  readonly world: FakeWorld;
+  readonly cluster: FakeCluster;
   /** Ids that the list of servers lacks. */
   readonly unlisted: Set<string>;
   /** Whether the list is taken as whole; at once unless a test says so. */
   listSettledAt: number;
-  begin(): Promise<Leader>;
+  startLeader(): Promise<TestLeader>;
   /** The last leader's process does nothing any more. */
-  freezeLast(): void;
+  freezeLatestLeader(): void;
   /** Lets time pass, with the ticks of all leaders that run. */
-  pass(ms: number): Promise<void>;
+  advance(ms: number): Promise<void>;
 }
 
 /** Makes a scene with the servers named; its luck follows from the seed. */
-export function createScene(seed: number, ids: readonly string[]): Scene {
+export function createHarness(seed: number, ids: readonly string[]): Harness {
   const random = createRandom(seed);
   const clock = createManualClock(1_000);
-  const world = createFakeWorld(clock, random, ids);
+  const world = createFakeCluster(clock, random, ids);
   const unlisted = new Set<string>();
-  const leaders: Leader[] = [];
-  const scene: Scene = {
+  const leaders: TestLeader[] = [];
+  const scene: Harness = {
     clock,
-    world,
+    cluster: world,
     unlisted,
     listSettledAt: 0,
-    async begin() {
-      const ledger = world.createLedger();
+    async startLeader() {
+      const ledger = world.createTableStore();
       const number = leaders.length;
-      const epoch = (await ledger.begin(`10.0.1.${number}:7200`))!;
+      const epoch = (await ledger.beginTerm(`10.0.1.${number}:7200`))!;
       const stored = (await ledger.load())!;
       let fence = 1;
-      const lead = leadService({
+      const lead = createServiceLeader({
         service: 'rounds',
         inherited: stored[0] ? inheritRecorded(stored[0], epoch) : null,
-        earlierActUntil: -Infinity,
-        isUnrecordedFree: () => true,
-        wakefulNow: () => clock.now(),
-        ledger,
-        orders: world.ordersFor(number),
+        earlierLeadersActUntil: -Infinity,
+        areUnrecordedKeysFree: () => true,
+        suspendAwareNow: () => clock.now(),
+        tableStore: ledger,
+        leaseClient: world.createLeaseClient(number),
         clock,
-        timing: createTiming(10_000),
+        timing: createLeaseTiming(10_000),
         servers: () =>
           world.servers
             .filter(({id}) => !unlisted.has(id))
@@ -75,22 +75,22 @@
             })),
         hasEnded: () => false,
         isListSettled: () => clock.now() >= scene.listSettledAt,
-        waitingKeys: () => [],
-        nextFence: () => epoch * FENCES_A_TERM + fence++,
+        queuedKeys: () => [],
+        nextFence: () => epoch * FENCES_PER_TERM + fence++,
         mayAct: () =>
-          !leader.isOver &&
+          !leader.isReplaced &&
           !leader.isFrozen &&
           clock.now() - leader.replacedAt < AUTHORITY_MS,
         onChange: () => undefined,
         onWithdrawn: () => undefined,
         onFenced() {
-          leader.isOver = true;
+          leader.isReplaced = true;
           lead.stop();
         },
         emit: () => undefined,
       });
-      const leader: Leader = {
-        ...{lead, isFrozen: false, isOver: false},
+      const leader: TestLeader = {
+        ...{serviceLeader: lead, isFrozen: false, isReplaced: false},
         replacedAt: Infinity,
       };
       const last = leaders.at(-1);
@@ -98,12 +98,12 @@
       leaders.push(leader);
       return leader;
     },
-    freezeLast() {
+    freezeLatestLeader() {
       leaders.at(-1)!.isFrozen = true;
     },
-    async pass(ms) {
+    async advance(ms) {
       for (let passed = 0; passed < ms; passed += TICK_MS) {
-        for (const {lead, isFrozen, isOver} of leaders) {
+        for (const {serviceLeader: lead, isFrozen, isReplaced: isOver} of leaders) {
           if (!isFrozen && !isOver) lead.tick();
         }
         await clock.advance(TICK_MS);
@@ -114,6 +114,6 @@
 }
 
 /** Ranges that the leader has at no server. */
-export function unserved({lead}: Leader): number {
+export function countUnserved({serviceLeader: lead}: TestLeader): number {
   return lead.served().filter(({server}) => server === null).length;
 }
--- a/packages/ranges/test/key-load.test.ts
+++ b/packages/ranges/test/key-load.test.ts
@@ -22,9 +22,9 @@
   t.ok(load.isEmpty());
   for (let at = 0; at < 5_000; at++) {
     load.add(Math.floor(random() * (MAX_KEY + 1)), 1);
-    if (at % 50 === 0) load.fade(200);
+    if (at % 50 === 0) load.decay(200);
   }
-  load.fade(200);
+  load.decay(200);
   t.notOk(load.isEmpty());
   for (const [from, to] of [
     [0, MAX_KEY],
@@ -41,13 +41,13 @@
   const load = createKeyLoad();
   for (let second = 0; second < 20; second++) {
     load.add(7, 1);
-    load.fade(1_000);
+    load.decay(1_000);
   }
   t.ok(Math.abs(sumOf(load, 7) - 1) < 0.3, 'one a second');
   load.add(7, 30);
-  load.fade(200);
+  load.decay(200);
   t.ok(sumOf(load, 7) > 10, 'busy');
-  load.fade(200_000);
+  load.decay(200_000);
   t.equal(sumOf(load, 7), 0, 'forgotten');
   load.add(-1, 1);
   load.add(MAX_KEY + 1, 1);
@@ -57,7 +57,7 @@
 void tap.test('requests that wait add to their keys', async t => {
   const load = createKeyLoad();
   load.add(3, 1);
-  load.fade(200);
+  load.decay(200);
   const before = sumOf(load, 3);
   const busy = load.rates([3, 3]).find(({key}) => key === 3);
   t.ok(busy!.rate > before);
--- a/packages/ranges/test/lead-service.test.ts
+++ b/packages/ranges/test/service-leader.test.ts
@@ -1,16 +1,16 @@
 import tap from 'tap';
-import {AUTHORITY_MS} from '@banyandrum/ranges/timing.js';
+import {AUTHORITY_MS} from '@banyandrum/ranges/lease-timing.js';
 import {findRange, MAX_KEY} from '@banyandrum/ranges/table.js';
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
-import {createScene, unserved} from './scene.js';
+import {createHarness, countUnserved} from './harness.js';
 
 void tap.test('every key gets one holder', async t => {
-  const {world, begin, pass} = createScene(1, ['a', 'b', 'c']);
+  const {cluster: world, startLeader: begin, advance: pass} = createHarness(1, ['a', 'b', 'c']);
   const leader = await begin();
   await pass(500);
-  t.equal(unserved(leader), 0);
+  t.equal(countUnserved(leader), 0);
   for (let key = 0; key <= MAX_KEY; key += 997) {
-    const server = findRange(leader.lead.served(), key)?.server;
+    const server = findRange(leader.serviceLeader.served(), key)?.server;
     t.same(world.holdersOf(key), [server]);
   }
   await pass(10_000);
@@ -20,14 +20,14 @@
 // A planned stop of a server: its keys are given back and granted on at once,
 // so callers see no pause but that of running requests.
 void tap.test('keys of a leaving server move at once', async t => {
-  const {world, unlisted, begin, pass} = createScene(2, ['a', 'b', 'c']);
+  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(2, ['a', 'b', 'c']);
   const leader = await begin();
   await pass(1_000);
   unlisted.add('a');
   await pass(300);
-  t.equal(unserved(leader), 0);
+  t.equal(countUnserved(leader), 0);
   t.same(
-    leader.lead.served().filter(({server}) => server === 'a'),
+    leader.serviceLeader.served().filter(({server}) => server === 'a'),
     [],
   );
   t.same(world.violations, []);
@@ -36,22 +36,22 @@
 // A server is cut off from everybody but may go on serving: its keys must stay
 // unserved until its hold has surely lapsed, and be served soon afterwards.
 void tap.test('keys of an unreachable server wait for the lapse', async t => {
-  const {world, unlisted, begin, pass} = createScene(3, ['a', 'b', 'c']);
+  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(3, ['a', 'b', 'c']);
   const leader = await begin();
   await pass(2_000);
-  world.servers[0]!.cutFrom.add(0);
+  world.servers[0]!.unreachableBy.add(0);
   unlisted.add('a');
   await pass(2_000);
-  t.ok(unserved(leader) > 0);
+  t.ok(countUnserved(leader) > 0);
   await pass(4_000);
-  t.equal(unserved(leader), 0);
+  t.equal(countUnserved(leader), 0);
   t.same(world.violations, []);
 });
 
 // A leader stands still while another takes over and moves keys; it wakes up
 // and goes on with what it had begun. Nothing it does may reach a server.
 void tap.test('a leader that wakes up changes nothing', async t => {
-  const {world, unlisted, begin, pass} = createScene(4, ['a', 'b', 'c']);
+  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(4, ['a', 'b', 'c']);
   const old = await begin();
   await pass(1_500);
   old.isFrozen = true;
@@ -61,14 +61,14 @@
   await pass(1_000);
   old.isFrozen = false;
   await pass(5_000);
-  t.equal(unserved(next), 0);
-  t.equal(old.isOver, true, 'the old one knows');
+  t.equal(countUnserved(next), 0);
+  t.equal(old.isReplaced, true, 'the old one knows');
   t.same(world.violations, []);
 });
 
 void tap.test('busy keys are spread over the servers', async t => {
-  const {begin, pass} = createScene(5, ['a', 'b', 'c', 'd']);
-  const {lead} = await begin();
+  const {startLeader: begin, advance: pass} = createHarness(5, ['a', 'b', 'c', 'd']);
+  const {serviceLeader: lead} = await begin();
   const rates = new Map<string | null, number>();
   for (let round = 0; round < 200; round++) {
     for (let key = 26_000; key < 26_012; key++) lead.load.add(key, 0.05);
@@ -85,17 +85,17 @@
 // reaches a server that the new one doesn't, and renews its keys. They must
 // not go to another server before the old one's authority has ended.
 void tap.test('a successor waits for the end of the authority', async t => {
-  const {world, unlisted, begin, pass} = createScene(6, ['a', 'b', 'c']);
+  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(6, ['a', 'b', 'c']);
   await begin();
   await pass(1_500);
-  world.servers[0]!.cutFrom.add(1);
+  world.servers[0]!.unreachableBy.add(1);
   const next = await begin();
   unlisted.add('a');
   await pass(AUTHORITY_MS - 1_000);
-  t.ok(unserved(next) > 0);
+  t.ok(countUnserved(next) > 0);
   t.same(world.violations, []);
   await pass(7_000);
-  t.equal(unserved(next), 0);
+  t.equal(countUnserved(next), 0);
   t.same(world.violations, []);
 });
 
@@ -111,32 +111,32 @@
 for (const seed of SEEDS) {
   void tap.test(`random troubles, seed ${seed}`, async t => {
     const random = createRandom(seed * 7_919);
-    const scene = createScene(seed, ['a', 'b', 'c', 'd']);
-    const {world, unlisted, begin, pass} = scene;
+    const scene = createHarness(seed, ['a', 'b', 'c', 'd']);
+    const {cluster: world, unlisted, startLeader: begin, advance: pass} = scene;
     let leader = await begin();
     for (let round = 0; round < 40; round++) {
-      world.luck.late = random() < 0.4 ? 0.3 : 0;
-      world.luck.unanswered = random() < 0.4 ? 0.3 : 0;
-      world.luck.unsaved = random() < 0.3 ? 0.5 : 0;
+      world.faultRates.late = random() < 0.4 ? 0.3 : 0;
+      world.faultRates.unanswered = random() < 0.4 ? 0.3 : 0;
+      world.faultRates.unsaved = random() < 0.3 ? 0.5 : 0;
       const server = world.servers[Math.floor(random() * 4)]!;
       const draw = random();
       const anyLeader = Math.floor(random() * 6);
-      if (draw < 0.2) toggleNumber(server.cutFrom, anyLeader);
+      if (draw < 0.2) toggleNumber(server.unreachableBy, anyLeader);
       else if (draw < 0.3) toggle(unlisted, server.id);
       else if (draw < 0.4) leader.isFrozen = !leader.isFrozen;
       else if (draw < 0.5) leader = await begin();
       for (let hot = 0; hot < 20; hot++) {
-        leader.lead.load.add(Math.floor(random() * 3_000) + 20_000, 1);
+        leader.serviceLeader.load.add(Math.floor(random() * 3_000) + 20_000, 1);
       }
       await pass(200 + random() * 1_500);
     }
     t.same(world.violations, []);
     unlisted.clear();
-    for (const {cutFrom} of world.servers) cutFrom.clear();
-    Object.assign(world.luck, {late: 0, unanswered: 0, unsaved: 0});
+    for (const {unreachableBy: cutFrom} of world.servers) cutFrom.clear();
+    Object.assign(world.faultRates, {late: 0, unanswered: 0, unsaved: 0});
     leader = await begin();
     await pass(25_000);
-    t.equal(unserved(leader), 0, 'all is served again');
+    t.equal(countUnserved(leader), 0, 'all is served again');
     t.same(world.violations, []);
   });
 }
--- a/packages/ranges/test/spread.test.ts
+++ b/packages/ranges/test/spread.test.ts
@@ -1,35 +1,35 @@
 import tap from 'tap';
-import {KEY_COUNT, sizeOf} from '@banyandrum/ranges/table.js';
+import {KEY_COUNT, rangeSize} from '@banyandrum/ranges/table.js';
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
-import {createScene, unserved, type Leader, type Scene} from './scene.js';
+import {createHarness, countUnserved, type TestLeader, type Harness} from './harness.js';
 
 const SERVERS = 59;
 /** Servers that the leader hears of in each read of their list. */
-const HEARD = 8;
-const READ_MS = 400;
-const FIRST_HEARD = 5;
+const LISTED_PER_READ = 8;
+const READ_INTERVAL_MS = 400;
+const FIRST_LISTED = 5;
 
 const IDS = Array.from({length: SERVERS}, (_, at) => `s${at}`);
 
 /** The largest part of all keys at a server, with 1 for an even part. */
-function largestPart({lead}: Leader): number {
+function largestShare({serviceLeader: lead}: TestLeader): number {
   const sizes = new Map<string | null, number>();
   for (const range of lead.served()) {
     const {server} = range;
-    sizes.set(server, (sizes.get(server) ?? 0) + sizeOf(range));
+    sizes.set(server, (sizes.get(server) ?? 0) + rangeSize(range));
   }
   return (Math.max(...sizes.values()) * SERVERS) / KEY_COUNT;
 }
 
 /** Servers come to be known some at a time, as at the start of everything. */
-async function startSlowly(): Promise<{scene: Scene; leader: Leader}> {
-  const scene = createScene(1, IDS);
-  for (const id of IDS.slice(FIRST_HEARD)) scene.unlisted.add(id);
+async function listServersGradually(): Promise<{scene: Harness; leader: TestLeader}> {
+  const scene = createHarness(1, IDS);
+  for (const id of IDS.slice(FIRST_LISTED)) scene.unlisted.add(id);
   scene.listSettledAt = Infinity;
-  const leader = await scene.begin();
-  for (let heard = FIRST_HEARD; heard < SERVERS; heard += HEARD) {
-    await scene.pass(READ_MS);
-    for (const id of IDS.slice(0, heard + HEARD)) scene.unlisted.delete(id);
+  const leader = await scene.startLeader();
+  for (let heard = FIRST_LISTED; heard < SERVERS; heard += LISTED_PER_READ) {
+    await scene.advance(READ_INTERVAL_MS);
+    for (const id of IDS.slice(0, heard + LISTED_PER_READ)) scene.unlisted.delete(id);
   }
   return {scene, leader};
 }
@@ -39,31 +39,31 @@
 // part: cut for the first five that were heard of, all requests went to those,
 // and moves took many seconds to mend it while callers were refused.
 void tap.test('a first cut is for all servers that start', async t => {
-  const {scene, leader} = await startSlowly();
-  t.equal(leader.lead.served().length, 0, 'it waits for the rest');
+  const {scene, leader} = await listServersGradually();
+  t.equal(leader.serviceLeader.served().length, 0, 'it waits for the rest');
   scene.listSettledAt = 0;
-  await scene.pass(1_000);
-  t.equal(unserved(leader), 0);
-  const largest = largestPart(leader);
+  await scene.advance(1_000);
+  t.equal(countUnserved(leader), 0);
+  const largest = largestShare(leader);
   t.ok(largest < 1.3, `largest part ${largest.toFixed(2)} times an even one`);
 });
 
 // A caller comes before the list has settled. It isn't made to wait for that.
 void tap.test('the first request ends the wait', async t => {
-  const {scene, leader} = await startSlowly();
-  leader.lead.load.add(4_711, 1);
-  await scene.pass(300);
-  t.equal(unserved(leader), 0);
-  t.ok(leader.lead.served().length > 0);
+  const {scene, leader} = await listServersGradually();
+  leader.serviceLeader.load.add(4_711, 1);
+  await scene.advance(300);
+  t.equal(countUnserved(leader), 0);
+  t.ok(leader.serviceLeader.served().length > 0);
 });
 
 // A service's load lies on a fifth of its keys, on 59 servers that take part in
 // one move each at a time. Callers are refused until it is spread: moves must
 // go on side by side, in number as the servers do.
 void tap.test('load is spread by many moves at once', async t => {
-  const scene = createScene(2, IDS);
-  const {lead} = await scene.begin();
-  await scene.pass(1_000);
+  const scene = createHarness(2, IDS);
+  const {serviceLeader: lead} = await scene.startLeader();
+  await scene.advance(1_000);
   const rateOf = (): number[] => {
     const rates = new Map<string | null, number>();
     for (const range of lead.served()) {
@@ -76,7 +76,7 @@
   let tookMs = 0;
   for (; tookMs < 20_000; tookMs += 200) {
     for (let key = 20_000; key < 33_000; key += 65) lead.load.add(key, 0.12);
-    await scene.pass(200);
+    await scene.advance(200);
     const rates = rateOf();
     const mean = rates.reduce((sum, rate) => sum + rate) / SERVERS;
     if (tookMs > 400 && Math.max(...rates) < 1.6 * mean) break;
@@ -88,15 +88,15 @@
 const SLOTS = 2;
 const SERVICE_MS = 400;
 /** Requests a second that all servers take together, and those that come. */
-const MOST = (MANY_SERVERS * SLOTS * 1_000) / SERVICE_MS;
-const RATE = MOST * 0.7;
+const CAPACITY = (MANY_SERVERS * SLOTS * 1_000) / SERVICE_MS;
+const RATE = CAPACITY * 0.7;
 const HOT_FROM = 20_000;
 const HOT_KEYS = 200;
 const HOT_SHARE = 0.39;
 const STEP_MS = 50;
 
 /** The share of all requests that go where there is no room for them. */
-function unservedShare({lead}: Leader): number {
+function unservedShare({serviceLeader: lead}: TestLeader): number {
   const rates = new Map<string | null, number>();
   for (const {from, to, server} of lead.served()) {
     const first = Math.max(from, HOT_FROM);
@@ -108,7 +108,7 @@
   }
   let unserved = 0;
   for (const [server, rate] of rates) {
-    const room = server === null ? 0 : MOST / MANY_SERVERS;
+    const room = server === null ? 0 : CAPACITY / MANY_SERVERS;
     unserved += Math.max(0, rate - room);
   }
   return unserved / RATE;
@@ -123,22 +123,22 @@
 void tap.test('a busy stretch of keys is spread at once', async t => {
   const random = createRandom(3);
   const ids = Array.from({length: MANY_SERVERS}, (_, at) => `s${at}`);
-  const scene = createScene(2, ids);
-  const leader = await scene.begin();
+  const scene = createHarness(2, ids);
+  const leader = await scene.startLeader();
   const ask = (hotShare: number): void => {
     for (let left = (RATE * STEP_MS) / 1_000; left > 0; left--) {
       const isHot = random() < hotShare;
       const key = isHot
         ? HOT_FROM + Math.floor(random() * HOT_KEYS)
         : Math.floor(random() * KEY_COUNT);
-      leader.lead.load.add(key, 1);
+      leader.serviceLeader.load.add(key, 1);
     }
   };
   const pass = async (ms: number, hotShare: number): Promise<number> => {
     let sum = 0;
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       ask(hotShare);
-      await scene.pass(STEP_MS);
+      await scene.advance(STEP_MS);
       sum += unservedShare(leader);
     }
     return (sum * STEP_MS) / ms;
