--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -17,7 +17,7 @@
   noteRetryAfter,
 } from '@banyandrum/dispatch/server-rests.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
-import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
+import {createLeaseTiming} from '@banyandrum/ranges/timing.js';
 import {createSplitter} from '@banyandrum/routing/split.js';
 import {keepConfig} from './config-keeper.js';
 import {createEntry} from './entry.js';
--- a/packages/gateway/src/succession.ts
+++ b/packages/gateway/src/succession.ts
@@ -1,5 +1,5 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {LeaderRead} from '@banyandrum/ranges/table-store.js';
+import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
 import {hasMoreRoom, type Candidate, type Room} from './room.js';
 
 /** What a router that the platform chose knows of whoever leads now. */
--- a/packages/gateway/test/succession.test.ts
+++ b/packages/gateway/test/succession.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import {createSuccession} from '@banyandrum/gateway/succession.js';
 import type {Candidate} from '@banyandrum/gateway/room.js';
-import type {LeaderRead} from '@banyandrum/ranges/table-store.js';
+import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
 
 const SELF = '10.0.0.1:7200';
 const OTHER = '10.0.0.2:7200';
--- a/packages/ranges/src/balancing.ts
+++ b/packages/ranges/src/balancing.ts
@@ -1,13 +1,13 @@
-import {grantLease} from './grant-lease.js';
-import {leasesOf, saveAssignments, type LeaderState, type ListedServer} from './leader-state.js';
+import {grantLease} from './granting.js';
+import {leasesOf, saveAssignments, type LeaderState, type ListedServer} from './lead-state.js';
 import type {KeyRate} from './key-load.js';
 import {
   createMergedLease,
   createPartialLease,
   isSettled,
   type RangeLease,
-} from './range-lease.js';
-import {moveRange} from './move-range.js';
+} from './live-holding.js';
+import {moveRange} from './moving.js';
 import {planMoves} from './planner.js';
 import type {KeyRange} from './table.js';
 
--- a/packages/ranges/src/confirm-lease.ts
+++ b/packages/ranges/src/confirming.ts
@@ -1,6 +1,6 @@
-import {emitCallResult, saveAssignments, type LeaderState} from './leader-state.js';
-import {createRangeLease, type RangeLease} from './range-lease.js';
-import type {LeaseCallResult} from './lease-client.js';
+import {emitCallResult, saveAssignments, type LeaderState} from './lead-state.js';
+import {createRangeLease, type RangeLease} from './live-holding.js';
+import type {LeaseCallResult} from './orders.js';
 
 /** Pause between two questions to a server, in ms. */
 const RETRY_DELAY_MS = 150;
--- a/packages/ranges/src/grant-lease.ts
+++ b/packages/ranges/src/granting.ts
@@ -1,6 +1,6 @@
-import type {RangeLease} from './range-lease.js';
-import {emitCallResult, toEventFields, type LeaderState} from './leader-state.js';
-import type {LeaseCallResult} from './lease-client.js';
+import type {RangeLease} from './live-holding.js';
+import {emitCallResult, toEventFields, type LeaderState} from './lead-state.js';
+import type {LeaseCallResult} from './orders.js';
 
 /** Pause after a grant that reached nobody, in ms. */
 const RETRY_DELAY_MS = 150;
--- a/packages/ranges/src/service-leader.ts
+++ b/packages/ranges/src/lead-service.ts
@@ -1,6 +1,6 @@
 import {startBalancingMoves, mergeNeighbours} from './balancing.js';
-import {confirmLease} from './confirm-lease.js';
-import {grantLease} from './grant-lease.js';
+import {confirmLease} from './confirming.js';
+import {grantLease} from './granting.js';
 import {inheritRemembered, type InheritedAssignment} from './inheritance.js';
 import {createKeyLoad, type KeyLoad} from './key-load.js';
 import {
@@ -8,12 +8,12 @@
   type LeaderState,
   type ServiceLeaderConfig,
   type ListedServer,
-} from './leader-state.js';
-import {createRangeLease, type RangeLease, type AssignmentSource} from './range-lease.js';
-import {moveRange} from './move-range.js';
+} from './lead-state.js';
+import {createRangeLease, type RangeLease, type AssignmentSource} from './live-holding.js';
+import {moveRange} from './moving.js';
 import {createTableWriter} from './table-writer.js';
 import {splitEvenly, type RangeTable, type ServedRange} from './table.js';
-import {AUTHORITY_MS} from './lease-timing.js';
+import {AUTHORITY_MS} from './timing.js';
 
 /** A service's keys under one leader. */
 export interface ServiceLeader {
