--- a/packages/ranges/src/balancing.ts
+++ b/packages/ranges/src/balancing.ts
@@ -1,5 +1,10 @@
 import {grantLease} from './granting.js';
-import {leasesOf, saveAssignments, type LeaderState, type ListedServer} from './lead-state.js';
+import {
+  leasesOf,
+  saveAssignments,
+  type LeaderState,
+  type ListedServer,
+} from './lead-state.js';
 import type {KeyRate} from './key-load.js';
 import {
   createMergedLease,
@@ -11,108 +16,115 @@
 import {planMoves} from './planner.js';
 import type {KeyRange} from './table.js';
 
-/** A server's holdings are cut no further than this: each costs renewals. */
+/** A range is not split beyond this number per server: each costs renewals. */
 const MAX_RANGES_PER_SERVER = 8;
 
 /**
- * Starts up to `most` moves for the sake of load; whether some server is given
- * more than it can do.
+ * Starts up to `maxMoves` moves that balance load. Returns whether one of them
+ * relieves an overloaded server.
  */
 export function startBalancingMoves(
-  lead: LeaderState,
+  leader: LeaderState,
   servers: readonly ListedServer[],
   rates: readonly KeyRate[],
-  most: number,
+  maxMoves: number,
 ): boolean {
-  const now = lead.clock.now();
-  // A server that gives or takes keys already is left alone until it did.
-  const busy = new Set(
-    lead.leases
+  const now = leader.clock.now();
+  // A server takes part in one move at a time.
+  const movingServers = new Set(
+    leader.leases
       .filter(({phase}) => phase !== 'held')
-      .map(({assignment: holding}) => holding.server),
+      .map(({assignment}) => assignment.server),
+  );
+  const available = servers.filter(
+    ({id}) => !movingServers.has(id) && !leader.moveTargets.has(id),
   );
-  const free = servers.filter(({id}) => !busy.has(id) && !lead.moveTargets.has(id));
-  const settled = lead.leases.filter(live => isSettled(live, now));
-  const holdings = settled.map(({assignment: holding}) => holding);
-  const plan = planMoves({assignments: holdings, servers: free, rates}, most);
+  const settled = leader.leases.filter(lease => isSettled(lease, now));
+  const assignments = settled.map(({assignment}) => assignment);
+  const plan = planMoves({assignments, servers: available, rates}, maxMoves);
   for (const {range, to} of plan.moves) {
-    const live = settled.find(
-      ({assignment: holding}) => holding.from <= range.from && range.to <= holding.to,
+    const lease = settled.find(
+      ({assignment}) =>
+        assignment.from <= range.from && range.to <= assignment.to,
     )!;
-    lead.moveTargets.add(to);
-    lead.activeMoves++;
-    void moveSegment(lead, live, range, to).finally(() => {
-      lead.moveTargets.delete(to);
-      lead.activeMoves--;
+    leader.moveTargets.add(to);
+    leader.activeMoves++;
+    void moveSegment(leader, lease, range, to).finally(() => {
+      leader.moveTargets.delete(to);
+      leader.activeMoves--;
     });
   }
   return plan.isUrgent;
 }
 
-/** Joins two neighbours of one server; each holding costs renewals. */
-export function mergeNeighbours(lead: LeaderState, now: number): boolean {
-  const isStill = (live: RangeLease): boolean =>
-    isSettled(live, now) && live.pendingCall === null;
-  for (let at = 0; at + 1 < lead.leases.length; at++) {
-    const left = lead.leases[at]!;
-    const right = lead.leases[at + 1]!;
+/**
+ * Merges one pair of adjacent ranges of the same server, since each range costs
+ * renewals. Returns whether there was one.
+ */
+export function mergeNeighbours(leader: LeaderState, now: number): boolean {
+  const isIdle = (lease: RangeLease): boolean =>
+    isSettled(lease, now) && lease.pendingCall === null;
+  for (let at = 0; at + 1 < leader.leases.length; at++) {
+    const left = leader.leases[at]!;
+    const right = leader.leases[at + 1]!;
     if (left.assignment.server !== right.assignment.server) continue;
-    if (!isStill(left) || !isStill(right)) continue;
-    const merged = createMergedLease(left, right, lead.nextFence(), now);
-    replaceLeases(lead, [left, right], [merged]);
-    void saveAssignments(lead, [merged]);
+    if (!isIdle(left) || !isIdle(right)) continue;
+    const merged = createMergedLease(left, right, leader.nextFence(), now);
+    replaceLeases(leader, [left, right], [merged]);
+    void saveAssignments(leader, [merged]);
     return true;
   }
   return false;
 }
 
 async function moveSegment(
-  lead: LeaderState,
-  live: RangeLease,
+  leader: LeaderState,
+  lease: RangeLease,
   range: KeyRange,
   to: string,
 ): Promise<void> {
-  const {assignment: holding} = live;
-  if (range.from === holding.from && range.to === holding.to) {
-    return moveRange(lead, live, 'load', to);
+  const {assignment} = lease;
+  if (range.from === assignment.from && range.to === assignment.to) {
+    return moveRange(leader, lease, 'load', to);
   }
-  if (leasesOf(lead, holding.server!).length >= MAX_RANGES_PER_SERVER) return;
-  const part = await splitLease(lead, live, range);
-  if (part !== null) await moveRange(lead, part, 'load', to);
+  if (leasesOf(leader, assignment.server!).length >= MAX_RANGES_PER_SERVER)
+    return;
+  const part = await splitLease(leader, lease, range);
+  if (part !== null) await moveRange(leader, part, 'load', to);
 }
 
-/** Cuts a holding, so that one part can go; yields that part. */
+/** Splits a range so that one part can move; resolves with that part. */
 async function splitLease(
-  lead: LeaderState,
-  live: RangeLease,
+  leader: LeaderState,
+  lease: RangeLease,
   range: KeyRange,
 ): Promise<RangeLease | null> {
-  live.phase = 'waiting';
-  await live.pendingCall;
-  const {from, to} = live.assignment;
+  lease.phase = 'waiting';
+  await lease.pendingCall;
+  const {from, to} = lease.assignment;
   const ranges = [
     {from, to: range.from - 1},
     range,
     {from: range.to + 1, to},
   ].filter(each => each.from <= each.to);
-  const now = lead.clock.now();
+  const now = leader.clock.now();
   const parts = ranges.map(each =>
-    createPartialLease(live, each, lead.nextFence(), now),
+    createPartialLease(lease, each, leader.nextFence(), now),
   );
-  replaceLeases(lead, [live], parts);
-  if (!(await saveAssignments(lead, parts))) return null;
-  const part = parts.find(({assignment: holding}) => holding.from === range.from)!;
-  // The server must know the part by its own fence before it gives it back.
-  await Promise.all(parts.map(each => grantLease(lead, each)));
+  replaceLeases(leader, [lease], parts);
+  if (!(await saveAssignments(leader, parts))) return null;
+  const part = parts.find(({assignment}) => assignment.from === range.from)!;
+  // The server must have seen the part's own fence before its release.
+  await Promise.all(parts.map(each => grantLease(leader, each)));
   return part.phase === 'held' ? part : null;
 }
 
 function replaceLeases(
-  lead: LeaderState,
-  old: readonly RangeLease[],
-  fresh: readonly RangeLease[],
+  leader: LeaderState,
+  previous: readonly RangeLease[],
+  replacements: readonly RangeLease[],
 ): void {
-  const at = lead.leases.indexOf(old[0]!);
-  lead.leases.splice(at, old.length, ...fresh);
-  lead.onChange();
+  const at = leader.leases.indexOf(previous[0]!);
+  leader.leases.splice(at, previous.length, ...replacements);
+  leader.onChange();
 }
--- a/packages/ranges/src/confirming.ts
+++ b/packages/ranges/src/confirming.ts
@@ -1,59 +1,82 @@
-import {emitCallResult, saveAssignments, type LeaderState} from './lead-state.js';
+import {
+  emitCallResult,
+  saveAssignments,
+  type LeaderState,
+} from './lead-state.js';
 import {createRangeLease, type RangeLease} from './live-holding.js';
 import type {LeaseCallResult} from './orders.js';
 
-/** Pause between two questions to a server, in ms. */
+/** Delay between two confirmation calls, in ms. */
 const RETRY_DELAY_MS = 150;
 
 /**
- * Asks a holding's server, by a renewal under the fence of this router's term
- * before the store was restored, whether nobody ordered it anything since. A
- * leader that the store forgot can have moved the range only after the server
- * had seen its higher fence, and it recorded that before the restore; so a
- * server that accepts the old fence afterwards still holds the range alone.
+ * Confirms a `remembered` assignment: renews its lease with the fence of this
+ * router's term before the store was restored. Another leader, whose term the
+ * restore removed from the store, moves a range only after its server has seen
+ * that leader's higher fence, and can't store a move after the restore. A
+ * server that still accepts the old fence is therefore the only lease holder.
  */
-export function confirmLease(lead: LeaderState, live: RangeLease, now: number): void {
-  // Others count on this router's last term to act no longer.
-  if (lead.suspendAwareNow() >= live.confirmDeadline) return markUnknown(live);
-  if (now < live.renewAt || live.pendingCall !== null) return;
-  live.pendingCall = sendConfirmation(lead, live).finally(() => {
-    live.pendingCall = null;
+export function confirmLease(
+  leader: LeaderState,
+  lease: RangeLease,
+  now: number,
+): void {
+  // Other routers rely on this router's previous term not acting after this.
+  if (leader.suspendAwareNow() >= lease.confirmDeadline)
+    return markUnknown(lease);
+  if (now < lease.renewAt || lease.pendingCall !== null) return;
+  lease.pendingCall = sendConfirmation(leader, lease).finally(() => {
+    lease.pendingCall = null;
   });
 }
 
-async function sendConfirmation(lead: LeaderState, live: RangeLease): Promise<void> {
-  if (lead.isStopped || !lead.mayAct()) return;
-  if (lead.suspendAwareNow() >= live.confirmDeadline) return;
-  const {assignment: holding} = live;
-  const {leaseMs: holdMs, grantTimeoutMs: grantWithinMs} = lead.timing;
-  const end = await lead.leaseClient.grant(holding, holdMs, grantWithinMs);
-  if (end.kind !== 'done') emitCallResult(lead, 'confirm-failed', holding, end);
-  live.renewAt = lead.clock.now() + RETRY_DELAY_MS;
-  CONFIRM_RESULT_HANDLERS[end.kind](lead, live);
+async function sendConfirmation(
+  leader: LeaderState,
+  lease: RangeLease,
+): Promise<void> {
+  if (leader.isStopped || !leader.mayAct()) return;
+  if (leader.suspendAwareNow() >= lease.confirmDeadline) return;
+  const {assignment} = lease;
+  const {leaseMs, grantTimeoutMs} = leader.timing;
+  const result = await leader.leaseClient.grant(
+    assignment,
+    leaseMs,
+    grantTimeoutMs,
+  );
+  if (result.kind !== 'done')
+    emitCallResult(leader, 'confirm-failed', assignment, result);
+  lease.renewAt = leader.clock.now() + RETRY_DELAY_MS;
+  CONFIRM_RESULT_HANDLERS[result.kind](leader, lease);
 }
 
-type ConfirmResultHandler = (lead: LeaderState, live: RangeLease) => void;
+type ConfirmResultHandler = (leader: LeaderState, lease: RangeLease) => void;
 
-const CONFIRM_RESULT_HANDLERS: Readonly<Record<LeaseCallResult['kind'], ConfirmResultHandler>> = {
-  done(lead, live) {
-    const {expiresAt: lapseAt, earlierLeaderGrantUntil: foreignUntil, assignment: holding} = live;
-    const now = lead.clock.now();
-    const own = {...holding, fence: lead.nextFence()};
-    // Until the server has seen the new fence, it may obey a forgotten leader.
-    const known = {isServed: true, lapseAt, foreignUntil};
-    Object.assign(live, createRangeLease(own, now), known);
-    void saveAssignments(lead, [live]);
+const CONFIRM_RESULT_HANDLERS: Readonly<
+  Record<LeaseCallResult['kind'], ConfirmResultHandler>
+> = {
+  done(leader, lease) {
+    const {expiresAt, earlierLeaderGrantUntil, assignment} = lease;
+    const now = leader.clock.now();
+    const refenced = {...assignment, fence: leader.nextFence()};
+    // Until the server has seen the new fence, it still accepts calls from a
+    // leader whose term the restore removed.
+    const carriedOver = {isServed: true, expiresAt, earlierLeaderGrantUntil};
+    Object.assign(lease, createRangeLease(refenced, now), carriedOver);
+    void saveAssignments(leader, [lease]);
   },
-  unproved(lead, live) {
-    const lapseAt = lead.timing.expiryOf(lead.clock.now());
-    live.expiresAt = Math.max(live.expiresAt, lapseAt);
+  unproved(leader, lease) {
+    const expiresAt = leader.timing.expiryOf(leader.clock.now());
+    lease.expiresAt = Math.max(lease.expiresAt, expiresAt);
   },
   unsent: () => undefined,
-  replaced: (_lead, live) => markUnknown(live),
-  fenced: (_lead, live) => markUnknown(live),
+  replaced: (_leader, lease) => markUnknown(lease),
+  fenced: (_leader, lease) => markUnknown(lease),
 };
 
-/** Nobody is known to hold it; it moves once all holds have lapsed. */
-function markUnknown(live: RangeLease): void {
-  live.source = 'unknown';
+/**
+ * Gives up on confirming the assignment. The range is moved once every lease
+ * that may exist on it has expired.
+ */
+function markUnknown(lease: RangeLease): void {
+  lease.source = 'unknown';
 }
--- a/packages/ranges/src/fence.ts
+++ b/packages/ranges/src/fence.ts
@@ -1,16 +1,19 @@
 /**
- * Fences of one term. A term at the size designed for has some thousand ranges,
- * and moves a few hundred a second.
+ * Fences available in one leader term. A term of the intended size has a few
+ * thousand ranges and moves a few hundred of them per second.
  */
 export const FENCES_PER_TERM = 2 ** 20;
-/** Terms in one epoch of the store's history: some centuries of changes. */
+/**
+ * Terms available in one store epoch: enough for centuries of leader changes.
+ */
 const TERMS_PER_STORE_EPOCH = 2 ** 20;
-/** Fences stay below 2^53, where whole numbers are exact. */
+/** Keeps fences below 2^53, where a number represents integers exactly. */
 export const MAX_STORE_EPOCH = 2 ** 13 - 1;
 
 /**
- * The epoch of a leader's term. Terms are numbered anew after the store was
- * restored from a copy, so the epoch of its history goes before the number.
+ * Combines a store epoch and a term number into the epoch of a leader's term.
+ * Restoring the store from a backup starts a new store epoch and resets the
+ * term numbers, so the store epoch forms the high-order part.
  *
  * @example
  * ```ts
@@ -21,22 +24,24 @@
   return storeEpoch * TERMS_PER_STORE_EPOCH + term;
 }
 
-/** The epoch of the store's history in which the term began. */
+/** Returns the store epoch in which the term began. */
 export function storeEpochOfTerm(termEpoch: number): number {
   return Math.floor(termEpoch / TERMS_PER_STORE_EPOCH);
 }
 
-/** The term's number in its epoch of the store's history. */
+/** Returns the term's number within its store epoch. */
 export function termNumber(termEpoch: number): number {
   return termEpoch % TERMS_PER_STORE_EPOCH;
 }
 
-/** The fence of this number in the term; it is above all of earlier terms. */
-export function toFence(termEpoch: number, number: number): number {
-  return termEpoch * FENCES_PER_TERM + number;
+/**
+ * Returns the numbered fence of a term; it exceeds all fences of earlier terms.
+ */
+export function toFence(termEpoch: number, sequence: number): number {
+  return termEpoch * FENCES_PER_TERM + sequence;
 }
 
-/** The epoch of the store's history in which the fence was given out. */
+/** Returns the store epoch in which the fence was issued. */
 export function storeEpochOfFence(fence: number): number {
   return storeEpochOfTerm(Math.floor(fence / FENCES_PER_TERM));
 }
--- a/packages/ranges/src/granting.ts
+++ b/packages/ranges/src/granting.ts
@@ -2,34 +2,46 @@
 import {emitCallResult, toEventFields, type LeaderState} from './lead-state.js';
 import type {LeaseCallResult} from './orders.js';
 
-/** Pause after a grant that reached nobody, in ms. */
+/** Delay before the next attempt after a grant that had no effect, in ms. */
 const RETRY_DELAY_MS = 150;
 /**
- * With less time than this until the lapse no further grant is tried, in ms:
- * the time of one that can't connect (400), the pause, and a release that
- * can't connect either. Keys of a lost server would wait for them after the
- * lapse: p99 without a server 4.7 s instead of 4.0 s (recovery.test.ts).
+ * No further grant is attempted in the last second before the lease expires:
+ * that covers a grant that fails to connect (400 ms), the retry delay, and a
+ * release that fails to connect as well. Otherwise these would delay the move
+ * of a failed server's keys beyond the expiry: the p99 of the time without a
+ * server was 4.7 s instead of 4.0 s (recovery.test.ts).
  */
 const LAST_ATTEMPT_MS = 1_000;
 
-/** Grants a holding once; an order that is under way already counts. */
-export async function grantLease(lead: LeaderState, live: RangeLease): Promise<void> {
-  if (live.pendingCall !== null) return live.pendingCall;
-  live.pendingCall = sendGrant(lead, live).finally(() => {
-    live.pendingCall = null;
+/** Grants or renews a lease, or joins the call that is already in progress. */
+export async function grantLease(
+  leader: LeaderState,
+  lease: RangeLease,
+): Promise<void> {
+  if (lease.pendingCall !== null) return lease.pendingCall;
+  lease.pendingCall = sendGrant(leader, lease).finally(() => {
+    lease.pendingCall = null;
   });
-  await live.pendingCall;
+  await lease.pendingCall;
 }
 
-async function sendGrant(lead: LeaderState, live: RangeLease): Promise<void> {
-  if (lead.isStopped || !lead.mayAct()) return;
-  const {assignment: holding} = live;
-  const {leaseMs: holdMs, grantTimeoutMs: grantWithinMs} = lead.timing;
-  const sentAt = lead.clock.now();
-  const end = await lead.leaseClient.grant(holding, holdMs, grantWithinMs);
-  const now = lead.clock.now();
-  if (end.kind !== 'done') emitCallResult(lead, 'grant-failed', holding, end);
-  GRANT_RESULT_HANDLERS[end.kind](lead, live, {sentAt, now});
+async function sendGrant(
+  leader: LeaderState,
+  lease: RangeLease,
+): Promise<void> {
+  if (leader.isStopped || !leader.mayAct()) return;
+  const {assignment} = lease;
+  const {leaseMs, grantTimeoutMs} = leader.timing;
+  const sentAt = leader.clock.now();
+  const result = await leader.leaseClient.grant(
+    assignment,
+    leaseMs,
+    grantTimeoutMs,
+  );
+  const now = leader.clock.now();
+  if (result.kind !== 'done')
+    emitCallResult(leader, 'grant-failed', assignment, result);
+  GRANT_RESULT_HANDLERS[result.kind](leader, lease, {sentAt, now});
 }
 
 interface GrantTimes {
@@ -37,35 +49,45 @@
   readonly now: number;
 }
 
-type GrantResultHandler = (lead: LeaderState, live: RangeLease, times: GrantTimes) => void;
+type GrantResultHandler = (
+  leader: LeaderState,
+  lease: RangeLease,
+  times: GrantTimes,
+) => void;
 
-const GRANT_RESULT_HANDLERS: Readonly<Record<LeaseCallResult['kind'], GrantResultHandler>> = {
-  done(lead, live, {sentAt, now}) {
-    // The first answer to this fence shuts earlier leaders out, so from here
-    // on the hold is this leader's alone.
-    live.earlierLeaderGrantUntil = 0;
-    live.expiresAt = Math.max(lead.timing.expiryOf(now), live.lateGrantUntil);
-    live.renewAt = sentAt + lead.timing.renewAfterMs;
-    if (live.isServed || live.phase !== 'held') return;
-    live.isServed = true;
-    lead.emit('range-held', toEventFields(live.assignment));
-    lead.onChange();
+const GRANT_RESULT_HANDLERS: Readonly<
+  Record<LeaseCallResult['kind'], GrantResultHandler>
+> = {
+  done(leader, lease, {sentAt, now}) {
+    // A server that has accepted this fence rejects earlier leaders, so from
+    // now on only this leader can renew the lease.
+    lease.earlierLeaderGrantUntil = 0;
+    lease.expiresAt = Math.max(
+      leader.timing.expiryOf(now),
+      lease.lateGrantUntil,
+    );
+    lease.renewAt = sentAt + leader.timing.renewAfterMs;
+    if (lease.isServed || lease.phase !== 'held') return;
+    lease.isServed = true;
+    leader.emit('range-held', toEventFields(lease.assignment));
+    leader.onChange();
   },
-  unproved(lead, live, {now}) {
-    live.lateGrantUntil = lead.timing.expiryOf(now);
-    live.expiresAt = Math.max(live.expiresAt, live.lateGrantUntil);
-    live.renewAt = now;
+  unproved(leader, lease, {now}) {
+    lease.lateGrantUntil = leader.timing.expiryOf(now);
+    lease.expiresAt = Math.max(lease.expiresAt, lease.lateGrantUntil);
+    lease.renewAt = now;
   },
-  unsent(lead, live, {now}) {
-    live.renewAt = now + RETRY_DELAY_MS;
-    if (now >= live.expiresAt - LAST_ATTEMPT_MS) lead.reassign(live, 'lapsed');
+  unsent(leader, lease, {now}) {
+    lease.renewAt = now + RETRY_DELAY_MS;
+    if (now >= lease.expiresAt - LAST_ATTEMPT_MS)
+      leader.reassign(lease, 'lapsed');
   },
-  replaced(lead, live, {now}) {
-    live.expiresAt = now;
-    lead.reassign(live, 'ended');
+  replaced(leader, lease, {now}) {
+    lease.expiresAt = now;
+    leader.reassign(lease, 'ended');
   },
-  fenced(lead, live, {now}) {
-    live.renewAt = now + RETRY_DELAY_MS;
-    lead.onFenced();
+  fenced(leader, lease, {now}) {
+    lease.renewAt = now + RETRY_DELAY_MS;
+    leader.onFenced();
   },
 };
--- a/packages/ranges/src/inheritance.ts
+++ b/packages/ranges/src/inheritance.ts
@@ -2,18 +2,19 @@
 import type {RangeLease, AssignmentSource} from './live-holding.js';
 import type {RangeAssignment, RangeTable} from './table.js';
 
-/** A holding that a leader takes over, and what is known of its server. */
+/** An assignment that a new leader takes over. */
 export interface InheritedAssignment {
   readonly assignment: RangeAssignment;
   readonly source: AssignmentSource;
-  /** See `LiveHolding.confirmBy`. */
+  /** See `RangeLease.confirmDeadline`. */
   readonly confirmDeadline: number;
 }
 
 /**
- * What a leader takes over from a table in the store. A holding whose fence is
- * of an earlier epoch of the store's history may have moved since, by a record
- * that the store lost.
+ * Returns the assignments that a leader takes over from a stored table. If an
+ * assignment's fence belongs to an earlier store epoch, its source is
+ * `unknown`: the range may have moved in a write that the restored store no
+ * longer has.
  *
  * @example
  * ```ts
@@ -21,46 +22,52 @@
  * ```
  */
 export function inheritRecorded(
-  {assignments: holdings}: RangeTable,
+  {assignments}: RangeTable,
   termEpoch: number,
 ): readonly InheritedAssignment[] {
-  return holdings.map(assignment => ({
-    assignment: assignment,
+  return assignments.map(assignment => ({
+    assignment,
     source: isFromCurrentEpoch(assignment, termEpoch) ? 'recorded' : 'unknown',
     confirmDeadline: Infinity,
   }));
 }
 
-/** Whether a table was written since the store was restored last. */
+/** Whether the table was written after the store was last restored. */
 export function isRecordedSinceRestore(
-  {assignments: holdings}: RangeTable,
+  {assignments}: RangeTable,
   termEpoch: number,
 ): boolean {
-  return holdings.some(holding => isFromCurrentEpoch(holding, termEpoch));
+  return assignments.some(assignment =>
+    isFromCurrentEpoch(assignment, termEpoch),
+  );
 }
 
-function isFromCurrentEpoch({fence}: RangeAssignment, termEpoch: number): boolean {
+function isFromCurrentEpoch(
+  {fence}: RangeAssignment,
+  termEpoch: number,
+): boolean {
   return storeEpochOfFence(fence) === storeEpochOfTerm(termEpoch);
 }
 
 /**
- * What a leader takes over from its own last term, which the store lost. A
- * holding that went to another server without a record is not known: the record
- * may have been written all the same. `actUntil` is when that term's authority
- * ends, in wakeful ms.
+ * Returns the assignments that a leader takes over from its own previous term
+ * after a restore has removed that term's writes from the store. A new
+ * assignment whose write was not acknowledged counts as `unknown`, because the
+ * write may have succeeded. `authorityEndsAt` is when the authority of that
+ * term ends, in ms on the suspend-aware clock.
  */
 export function inheritRemembered(
-  lives: readonly RangeLease[],
-  actUntil: number,
+  leases: readonly RangeLease[],
+  authorityEndsAt: number,
 ): readonly InheritedAssignment[] {
-  return lives.map(live => {
-    const {assignment: assignment, source: source, phase, isServed} = live;
-    const isUnrecorded = phase === 'waiting' && !isServed;
-    const isKnown = source !== 'unknown' && !isUnrecorded;
+  return leases.map(lease => {
+    const {assignment, source, phase, isServed} = lease;
+    const isUnacknowledged = phase === 'waiting' && !isServed;
+    const isKnown = source !== 'unknown' && !isUnacknowledged;
     return {
-      assignment: assignment,
+      assignment,
       source: isKnown ? 'remembered' : 'unknown',
-      confirmDeadline: Math.min(live.confirmDeadline, actUntil),
+      confirmDeadline: Math.min(lease.confirmDeadline, authorityEndsAt),
     };
   });
 }
--- a/packages/ranges/src/key-load.ts
+++ b/packages/ranges/src/key-load.ts
@@ -1,61 +1,63 @@
 import {KEY_COUNT, MAX_KEY, type KeyRange} from './table.js';
 
-/** A key's load. */
+/** The request rate of a key. */
 export interface KeyRate {
   readonly key: number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
 }
 
-/** How often each key of a service is asked for. */
+/** Measures the request rate of each key of a service. */
 export interface KeyLoad {
-  /** Whether no key was ever asked for. */
+  /** Whether no request has been counted yet. */
   isEmpty(): boolean;
   add(key: number, requests: number): void;
-  /** Requests a second on the range, smoothed. */
+  /** Smoothed requests per second of a range. */
   rateOf(range: KeyRange): number;
   /**
-   * All keys that were asked for lately, in order. Requests that wait now, a
-   * key for each, add to their keys' load: they tell of a busy server before
-   * smoothed counts do.
+   * Rates of all recently requested keys, in order. `queuedKeys` has the key of
+   * each queued request; these add to their keys' rates, because a queue shows
+   * an overloaded server before the smoothed counts do.
    */
-  rates(waiting: readonly number[]): readonly KeyRate[];
-  /** Forgets a part of what is older; called at a steady pace. */
+  rates(queuedKeys: readonly number[]): readonly KeyRate[];
+  /** Decays the counts; called at regular intervals. */
   decay(elapsedMs: number): void;
 }
 
-/** Requests count for about these times, in ms. */
+/** Time constants of the exponential decay of the two counts, in ms. */
 const LONG_TERM_MS = 12_000;
 const SHORT_TERM_MS = 1_500;
 /**
- * Recent requests that say more than the usual load: fewer come together by
- * chance, as a key in the deployments known has under one request a second.
+ * Short-term count from which a key's short-term rate is used. Smaller counts
+ * occur by chance, as keys in known deployments have less than one request per
+ * second.
  */
 const SIGNIFICANT_KEY_COUNT = 4;
 /**
- * Neighbours that are looked at together, as powers of two: few where requests
- * are many, more where they are few. A stretch of keys becomes busy at once,
- * each of them asked for hardly more often than by chance.
+ * Sizes of blocks of adjacent keys that are also counted together, as powers of
+ * two: small blocks for high request rates, larger ones for low rates. They
+ * detect a key range that becomes busy although each of its keys gets hardly
+ * more requests than by chance.
  */
 const BLOCK_BITS = [5, 8] as const;
-/** Recent requests for neighbours that say more than the usual load. */
+/** Short-term count from which a block's increase is significant. */
 const SIGNIFICANT_BLOCK_COUNT = 8;
-/** Neighbours are busy where they are asked for so many times as often. */
+/** A block is busy if its count exceeds the long-term one by this factor. */
 const BUSY_FACTOR = 2;
-/** Requests that wait should be served within about this time, in ms. */
+/** Time within which queued requests should be served, in ms. */
 const QUEUE_DRAIN_MS = 2_000;
-/** A key is forgotten below this count. */
+/** A key whose count decays below this is no longer tracked. */
 const MIN_KEPT_COUNT = 0.02;
 /**
- * Sums over ranges are made anew after this time, in ms. A server that leaves
- * has its keys' load asked for at every other server: summed key by key that
- * took 49 ms a move with 30,000 keys and 59 servers, and the leader fell silent
- * for seconds when nine servers left.
+ * Age after which the prefix sums of the rates are recomputed, in ms. Moving a
+ * leaving server's keys needs the rates of all servers' ranges: summing them
+ * key by key took 49 ms per move with 30,000 keys and 59 servers, and the
+ * leader was unresponsive for seconds when nine servers left.
  */
 const PREFIX_SUMS_MAX_AGE_MS = 100;
 
 /**
- * Counts that fade exponentially, one for each key that is asked for.
+ * Creates a load measurement with exponentially decaying counts per key.
  *
  * @example
  * ```ts
@@ -64,56 +66,62 @@
  * ```
  */
 export function createKeyLoad(): KeyLoad {
-  /** Fading within some seconds: the usual load. */
-  const usual = new Float32Array(KEY_COUNT);
-  /** Fading within a second or two: what became busy, or stopped to be. */
-  const recent = new Float32Array(KEY_COUNT);
-  /** The same for neighbours together. */
-  const levels = BLOCK_BITS.map(bits => ({
+  /** Long-term counts: the usual load. */
+  const longTerm = new Float32Array(KEY_COUNT);
+  /** Short-term counts: show keys that have become busy or idle. */
+  const shortTerm = new Float32Array(KEY_COUNT);
+  /** The same counts for blocks of adjacent keys. */
+  const blockLevels = BLOCK_BITS.map(bits => ({
     bits,
-    usual: new Float32Array(KEY_COUNT >> bits),
-    recent: new Float32Array(KEY_COUNT >> bits),
+    longTerm: new Float32Array(KEY_COUNT >> bits),
+    shortTerm: new Float32Array(KEY_COUNT >> bits),
   }));
-  /** Rates of all keys below each key, as they were at `summedMs`. */
-  const sums = new Float64Array(KEY_COUNT + 1);
+  /**
+   * Prefix sums: the total rate of all keys below each key, as of `summedMs`.
+   */
+  const prefixSums = new Float64Array(KEY_COUNT + 1);
   let summedMs = -Infinity;
   let observedMs = 0;
   let isEmpty = true;
 
-  // What was watched for a short time only is scaled up to a rate.
-  const usualSeconds = (): number => {
+  // The time that long-term counts represent: shorter than the time constant
+  // until the load has been observed for that long.
+  const longTermSeconds = (): number => {
     const share = 1 - Math.exp(-observedMs / LONG_TERM_MS);
     return Math.max(SHORT_TERM_MS, LONG_TERM_MS * share) / 1000;
   };
 
-  const isBusyAround = (key: number, seconds: number): boolean =>
-    levels.some(level => {
+  const isBlockBusy = (key: number, seconds: number): boolean =>
+    blockLevels.some(level => {
       const block = key >> level.bits;
-      const count = level.recent[block]!;
+      const count = level.shortTerm[block]!;
       if (count < SIGNIFICANT_BLOCK_COUNT) return false;
-      const usualCount = (level.usual[block]! / seconds) * (SHORT_TERM_MS / 1000);
-      return count > usualCount * BUSY_FACTOR;
+      const expectedCount =
+        (level.longTerm[block]! / seconds) * (SHORT_TERM_MS / 1000);
+      return count > expectedCount * BUSY_FACTOR;
     });
 
   const rateAt = (key: number, seconds: number): number => {
-    const usualRate = usual[key]! / seconds;
-    const recentRate = recent[key]! / (SHORT_TERM_MS / 1000);
-    if (recent[key]! >= SIGNIFICANT_KEY_COUNT || isBusyAround(key, seconds)) {
-      return Math.max(usualRate, recentRate);
+    const longTermRate = longTerm[key]! / seconds;
+    const shortTermRate = shortTerm[key]! / (SHORT_TERM_MS / 1000);
+    if (shortTerm[key]! >= SIGNIFICANT_KEY_COUNT || isBlockBusy(key, seconds)) {
+      return Math.max(longTermRate, shortTermRate);
     }
-    const expected = (usualRate * SHORT_TERM_MS) / 1000;
-    const hasCooled = expected >= SIGNIFICANT_KEY_COUNT && recent[key]! < expected / SIGNIFICANT_KEY_COUNT;
-    return hasCooled ? recentRate : usualRate;
+    const expected = (longTermRate * SHORT_TERM_MS) / 1000;
+    const hasBecomeIdle =
+      expected >= SIGNIFICANT_KEY_COUNT &&
+      shortTerm[key]! < expected / SIGNIFICANT_KEY_COUNT;
+    return hasBecomeIdle ? shortTermRate : longTermRate;
   };
 
-  const sumUp = (): void => {
+  const updatePrefixSums = (): void => {
     if (observedMs - summedMs < PREFIX_SUMS_MAX_AGE_MS) return;
     summedMs = observedMs;
-    const seconds = usualSeconds();
+    const seconds = longTermSeconds();
     let sum = 0;
     for (let key = 0; key < KEY_COUNT; key++) {
-      if (usual[key]! > 0) sum += rateAt(key, seconds);
-      sums[key + 1] = sum;
+      if (longTerm[key]! > 0) sum += rateAt(key, seconds);
+      prefixSums[key + 1] = sum;
     }
   };
 
@@ -121,46 +129,49 @@
     isEmpty: () => isEmpty,
     add(key, requests) {
       if (key < 0 || key > MAX_KEY) return;
-      usual[key]! += requests;
-      recent[key]! += requests;
-      for (const level of levels) {
-        level.usual[key >> level.bits]! += requests;
-        level.recent[key >> level.bits]! += requests;
+      longTerm[key]! += requests;
+      shortTerm[key]! += requests;
+      for (const level of blockLevels) {
+        level.longTerm[key >> level.bits]! += requests;
+        level.shortTerm[key >> level.bits]! += requests;
       }
       isEmpty = false;
     },
     rateOf({from, to}) {
-      sumUp();
-      return sums[to + 1]! - sums[from]!;
+      updatePrefixSums();
+      return prefixSums[to + 1]! - prefixSums[from]!;
     },
-    rates(waiting) {
-      const added = new Map<number, number>();
-      for (const key of waiting) {
-        added.set(key, (added.get(key) ?? 0) + 1000 / QUEUE_DRAIN_MS);
+    rates(queuedKeys) {
+      const queuedRates = new Map<number, number>();
+      for (const key of queuedKeys) {
+        queuedRates.set(
+          key,
+          (queuedRates.get(key) ?? 0) + 1000 / QUEUE_DRAIN_MS,
+        );
       }
-      const seconds = usualSeconds();
+      const seconds = longTermSeconds();
       const rates: KeyRate[] = [];
       for (let key = 0; key < KEY_COUNT; key++) {
-        if (usual[key] === 0) continue;
-        const rate = rateAt(key, seconds) + (added.get(key) ?? 0);
+        if (longTerm[key] === 0) continue;
+        const rate = rateAt(key, seconds) + (queuedRates.get(key) ?? 0);
         rates.push({key, rate});
       }
       return rates;
     },
     decay(elapsedMs) {
       observedMs += elapsedMs;
-      const usualKept = Math.exp(-elapsedMs / LONG_TERM_MS);
-      const recentKept = Math.exp(-elapsedMs / SHORT_TERM_MS);
+      const longTermFactor = Math.exp(-elapsedMs / LONG_TERM_MS);
+      const shortTermFactor = Math.exp(-elapsedMs / SHORT_TERM_MS);
       for (let key = 0; key < KEY_COUNT; key++) {
-        if (usual[key] === 0) continue;
-        usual[key]! *= usualKept;
-        recent[key]! *= recentKept;
-        if (usual[key]! < MIN_KEPT_COUNT) usual[key] = recent[key] = 0;
+        if (longTerm[key] === 0) continue;
+        longTerm[key]! *= longTermFactor;
+        shortTerm[key]! *= shortTermFactor;
+        if (longTerm[key]! < MIN_KEPT_COUNT) longTerm[key] = shortTerm[key] = 0;
       }
-      for (const level of levels) {
-        for (let block = 0; block < level.usual.length; block++) {
-          level.usual[block]! *= usualKept;
-          level.recent[block]! *= recentKept;
+      for (const level of blockLevels) {
+        for (let block = 0; block < level.longTerm.length; block++) {
+          level.longTerm[block]! *= longTermFactor;
+          level.shortTerm[block]! *= shortTermFactor;
         }
       }
     },
--- a/packages/ranges/src/lead-service.ts
+++ b/packages/ranges/src/lead-service.ts
@@ -9,71 +9,84 @@
   type ServiceLeaderConfig,
   type ListedServer,
 } from './lead-state.js';
-import {createRangeLease, type RangeLease, type AssignmentSource} from './live-holding.js';
+import {
+  createRangeLease,
+  type RangeLease,
+  type AssignmentSource,
+} from './live-holding.js';
 import {moveRange} from './moving.js';
 import {createTableWriter} from './table-writer.js';
 import {splitEvenly, type RangeTable, type ServedRange} from './table.js';
 import {AUTHORITY_MS} from './timing.js';
 
-/** A service's keys under one leader. */
+/** The leader of one service: assigns its keys to servers. */
 export interface ServiceLeader {
   readonly service: string;
   readonly load: KeyLoad;
+  /** All ranges, with the server that requests may be sent to. */
   served(): readonly ServedRange[];
   /**
-   * What this leader knows, for its next term after a restore of the store;
-   * `actUntil` is when its authority ends, in wakeful ms.
+   * The assignments that this router may take over in its next term if the
+   * store is restored. `authorityEndsAt` is when the authority of the present
+   * term ends, in ms on the suspend-aware clock.
    */
-  remembered(actUntil: number): readonly InheritedAssignment[];
+  remembered(authorityEndsAt: number): readonly InheritedAssignment[];
+  /** Renews leases and moves ranges; called at short intervals. */
   tick(): void;
   stop(): void;
 }
 
-/** Holdings for each server at first: neighbours are often busy together. */
+/**
+ * Initial ranges per server; more than one because adjacent keys are often busy
+ * together.
+ */
 const RANGES_PER_SERVER = 2;
 /**
- * Moves for the sake of load at the same time, at least, and for each server
- * beyond: a pair of servers takes part in one move at a time.
+ * Concurrent load balancing moves: a minimum, and a number per server for large
+ * services. A server takes part in one move at a time, and each involves two.
  */
 const MIN_CONCURRENT_MOVES = 4;
 const CONCURRENT_MOVES_PER_SERVER = 0.2;
-/** Counts of requests fade in steps of this time, in ms: a look at all keys. */
+/** Interval at which request counts decay, in ms; each step visits all keys. */
 const DECAY_INTERVAL_MS = 200;
-/** Placement looks at the load this often, in ms. */
+/** Interval between plans of load balancing moves, in ms. */
 const PLAN_INTERVAL_MS = 400;
 /**
- * It looks again after this time, in ms, while a server is given more than it
- * can do: a busy stretch of keys is halved with each look.
+ * Interval while a server is overloaded, in ms. It is shorter because each plan
+ * only halves the load of a busy key range.
  */
 const URGENT_PLAN_INTERVAL_MS = 100;
 /**
- * A new leader grants what it takes over one after the other, in ms each and in
- * all at the most: servers may hold their keys for another second only. A
- * thousand ranges granted at once kept it from all else for so long that those
- * who had just come to follow it left for its silence.
+ * A new leader spreads the grants for the ranges that it takes over: this
+ * interval between two, and this maximum for all, in ms, because the servers'
+ * leases may expire within a second. A thousand grants at once blocked the
+ * event loop for so long that routers which had just connected as followers
+ * timed out.
  */
 const ADOPT_INTERVAL_MS = 0.5;
 const MAX_ADOPT_MS = 500;
-/** Placement watches the load for this long first, in ms. */
+/** How long a new leader observes the load before the first plan, in ms. */
 const FIRST_PLAN_DELAY_MS = 700;
 
 /**
- * Leads a service: records who may hold which keys, grants and renews them,
- * and moves them when servers leave or their load differs.
+ * Creates the leader of a service. It stores which server each key range is
+ * assigned to, grants and renews the leases, and moves ranges when servers
+ * leave or to balance load.
  *
- * A server is granted only what was recorded first, and a key goes to another
- * server only after the last one gave it back, its hold has surely lapsed, or
- * its run has ended; so two servers never hold a key, whichever leader acts.
+ * An assignment is stored before its lease is granted. A range is assigned to
+ * another server only after the previous one has released it, its lease has
+ * certainly expired, or the server instance has terminated. Therefore no two
+ * servers ever hold leases on the same key, whichever leaders act.
  *
  * @example
  * ```ts
- * const lead = leadService(cfg);
- * const timer = setInterval(lead.tick, 50);
+ * const leader = createServiceLeader(cfg);
+ * const timer = setInterval(leader.tick, 50);
  * ```
  */
 export function createServiceLeader(cfg: ServiceLeaderConfig): ServiceLeader {
   const now = cfg.clock.now();
-  const lead: LeaderState = {
+  const leader: LeaderState = {
     ...cfg,
     leases: [],
     load: createKeyLoad(),
@@ -82,142 +95,181 @@
     moveTargets: new Set(),
     nextPlanAt: now + FIRST_PLAN_DELAY_MS,
     lastDecayAt: now,
-    save: () => saveLoop.save(),
-    reassign: (live, why) => void moveRange(lead, live, why),
+    save: () => tableWriter.save(),
+    reassign: (lease, reason) => void moveRange(leader, lease, reason),
   };
-  const tableOf = (): RangeTable => ({
+  const currentTable = (): RangeTable => ({
     service: cfg.service,
-    assignments: lead.leases.map(({assignment: holding}) => holding),
+    assignments: leader.leases.map(({assignment}) => assignment),
   });
-  const saveLoop = createTableWriter(cfg.tableStore, cfg.clock, tableOf, () => {
-    lead.isStopped = true;
-    cfg.onFenced();
-  });
-  if (cfg.inherited !== null) adoptInherited(lead, cfg.inherited);
+  const tableWriter = createTableWriter(
+    cfg.tableStore,
+    cfg.clock,
+    currentTable,
+    () => {
+      leader.isStopped = true;
+      cfg.onFenced();
+    },
+  );
+  if (cfg.inherited !== null) adoptInherited(leader, cfg.inherited);
   return {
     service: cfg.service,
-    load: lead.load,
-    remembered: actUntil => inheritRemembered(lead.leases, actUntil),
-    served: () => lead.leases.map(toServedRange),
-    tick: () => tick(lead),
+    load: leader.load,
+    remembered: authorityEndsAt =>
+      inheritRemembered(leader.leases, authorityEndsAt),
+    served: () => leader.leases.map(toServedRange),
+    tick: () => tick(leader),
     stop() {
-      lead.isStopped = true;
-      saveLoop.stop();
+      leader.isStopped = true;
+      tableWriter.stop();
     },
   };
 }
 
-function toServedRange({assignment: holding, isServed}: RangeLease): ServedRange {
-  const {from, to, server} = holding;
+function toServedRange({assignment, isServed}: RangeLease): ServedRange {
+  const {from, to, server} = assignment;
   return {from, to, server: isServed ? server : null};
 }
 
-function adoptInherited(lead: LeaderState, inherited: readonly InheritedAssignment[]): void {
-  const now = lead.clock.now();
-  const stepMs = Math.min(ADOPT_INTERVAL_MS, MAX_ADOPT_MS / inherited.length);
-  lead.leases = inherited.map((each, at) => ({
-    ...ADOPTERS[each.source](lead, each),
-    renewAt: now + at * stepMs,
+function adoptInherited(
+  leader: LeaderState,
+  inherited: readonly InheritedAssignment[],
+): void {
+  const now = leader.clock.now();
+  const intervalMs = Math.min(
+    ADOPT_INTERVAL_MS,
+    MAX_ADOPT_MS / inherited.length,
+  );
+  leader.leases = inherited.map((each, at) => ({
+    ...ADOPTERS[each.source](leader, each),
+    renewAt: now + at * intervalMs,
   }));
-  const recorded = lead.leases.filter(({source: standing}) => standing === 'recorded');
-  if (recorded.length > 0) void saveAssignments(lead, recorded);
+  const recorded = leader.leases.filter(({source}) => source === 'recorded');
+  if (recorded.length > 0) void saveAssignments(leader, recorded);
 }
 
-type Adopter = (lead: LeaderState, inherited: InheritedAssignment) => RangeLease;
+type Adopter = (
+  leader: LeaderState,
+  inherited: InheritedAssignment,
+) => RangeLease;
 
 const ADOPTERS: Readonly<Record<AssignmentSource, Adopter>> = {
   /**
-   * The server goes on serving, and a higher fence shuts out an earlier leader's
-   * orders; one that can't be reached may still be renewed by it as long as its
-   * authority lasts.
+   * The server continues to serve the range, and a higher fence makes it reject
+   * an earlier leader's calls. If this leader can't reach the server, an
+   * earlier leader may still renew the lease until its authority ends.
    */
-  recorded(lead, {assignment: holding}) {
-    const now = lead.clock.now();
-    const live = createRangeLease({...holding, fence: lead.nextFence()}, now);
-    if (holding.server === null) return live;
-    const lapseAt = lead.timing.expiryOf(now + AUTHORITY_MS);
-    return {...live, isServed: true, expiresAt: lapseAt, earlierLeaderGrantUntil: lapseAt};
+  recorded(leader, {assignment}) {
+    const now = leader.clock.now();
+    const lease = createRangeLease(
+      {...assignment, fence: leader.nextFence()},
+      now,
+    );
+    if (assignment.server === null) return lease;
+    const expiresAt = leader.timing.expiryOf(now + AUTHORITY_MS);
+    return {
+      ...lease,
+      isServed: true,
+      expiresAt,
+      earlierLeaderGrantUntil: expiresAt,
+    };
   },
-  /** The server goes on serving once it confirms the fence that it knew. */
-  remembered(lead, {assignment: holding, confirmDeadline: confirmBy}) {
-    const lapseAt = lead.timing.expiryOf(lead.earlierLeadersActUntil);
+  /** The server continues to serve the range and confirms the known fence. */
+  remembered(leader, {assignment, confirmDeadline}) {
+    const expiresAt = leader.timing.expiryOf(leader.earlierLeadersActUntil);
     return {
-      ...createRangeLease(holding, lead.clock.now()),
+      ...createRangeLease(assignment, leader.clock.now()),
       ...{source: 'remembered', phase: 'held', isServed: true},
-      ...{expiresAt: lapseAt, earlierLeaderGrantUntil: lapseAt, confirmDeadline: confirmBy},
+      ...{expiresAt, earlierLeaderGrantUntil: expiresAt, confirmDeadline},
     };
   },
-  unknown(lead, {assignment: holding}) {
+  unknown(leader, {assignment}) {
     return {
-      ...createRangeLease(holding, lead.clock.now()),
+      ...createRangeLease(assignment, leader.clock.now()),
       ...{source: 'unknown', phase: 'held'},
-      expiresAt: lead.timing.expiryOf(lead.earlierLeadersActUntil),
+      expiresAt: leader.timing.expiryOf(leader.earlierLeadersActUntil),
     };
   },
 };
 
-function tick(lead: LeaderState): void {
-  if (lead.isStopped || !lead.mayAct()) return;
-  const now = lead.clock.now();
-  if (now - lead.lastDecayAt >= DECAY_INTERVAL_MS) {
-    lead.load.decay(now - lead.lastDecayAt);
-    lead.lastDecayAt = now;
+function tick(leader: LeaderState): void {
+  if (leader.isStopped || !leader.mayAct()) return;
+  const now = leader.clock.now();
+  if (now - leader.lastDecayAt >= DECAY_INTERVAL_MS) {
+    leader.load.decay(now - leader.lastDecayAt);
+    leader.lastDecayAt = now;
   }
-  const servers = lead.servers();
-  if (lead.leases.length === 0) {
-    if (mayAssignAllKeys(lead, servers)) assignAllKeys(lead, servers);
+  const servers = leader.servers();
+  if (leader.leases.length === 0) {
+    if (mayAssignAllKeys(leader, servers)) assignAllKeys(leader, servers);
     return;
   }
-  const open = new Set(servers.map(({id}) => id));
-  for (const live of [...lead.leases]) maintainLease(lead, live, open, now);
-  if (now < lead.nextPlanAt) return;
-  lead.nextPlanAt = now + PLAN_INTERVAL_MS;
-  mergeNeighbours(lead, now);
-  const most = Math.max(MIN_CONCURRENT_MOVES, servers.length * CONCURRENT_MOVES_PER_SERVER);
-  if (lead.activeMoves >= most) return;
-  const rates = lead.load.rates(lead.queuedKeys());
-  const isUrgent = startBalancingMoves(lead, servers, rates, most - lead.activeMoves);
-  if (isUrgent) lead.nextPlanAt = now + URGENT_PLAN_INTERVAL_MS;
+  const listed = new Set(servers.map(({id}) => id));
+  for (const lease of [...leader.leases])
+    maintainLease(leader, lease, listed, now);
+  if (now < leader.nextPlanAt) return;
+  leader.nextPlanAt = now + PLAN_INTERVAL_MS;
+  mergeNeighbours(leader, now);
+  const maxMoves = Math.max(
+    MIN_CONCURRENT_MOVES,
+    servers.length * CONCURRENT_MOVES_PER_SERVER,
+  );
+  if (leader.activeMoves >= maxMoves) return;
+  const rates = leader.load.rates(leader.queuedKeys());
+  const isUrgent = startBalancingMoves(
+    leader,
+    servers,
+    rates,
+    maxMoves - leader.activeMoves,
+  );
+  if (isUrgent) leader.nextPlanAt = now + URGENT_PLAN_INTERVAL_MS;
 }
 
 /**
- * Keys are cut for the servers that are there. At a start they come to be
- * known one by one, and those that come after the cut get keys only as load
- * moves there; so it waits for the others, until the first request.
+ * Whether to make the initial assignment of all keys to the listed servers.
+ * When a deployment starts, servers are listed one by one, and those listed
+ * after the initial assignment only get keys through load balancing. So the
+ * leader waits until the list has settled or the first request arrives.
  */
-function mayAssignAllKeys(lead: LeaderState, servers: readonly ListedServer[]): boolean {
-  if (servers.length === 0 || !lead.areUnrecordedKeysFree()) return false;
-  if (lead.isListSettled() || !lead.load.isEmpty()) return true;
-  return lead.queuedKeys().length > 0;
+function mayAssignAllKeys(
+  leader: LeaderState,
+  servers: readonly ListedServer[],
+): boolean {
+  if (servers.length === 0 || !leader.areUnrecordedKeysFree()) return false;
+  if (leader.isListSettled() || !leader.load.isEmpty()) return true;
+  return leader.queuedKeys().length > 0;
 }
 
-function assignAllKeys(lead: LeaderState, servers: readonly ListedServer[]): void {
-  const now = lead.clock.now();
+function assignAllKeys(
+  leader: LeaderState,
+  servers: readonly ListedServer[],
+): void {
+  const now = leader.clock.now();
   const ranges = splitEvenly(servers.length * RANGES_PER_SERVER);
-  lead.leases = ranges.map((range, at) => {
+  leader.leases = ranges.map((range, at) => {
     const {id, address} = servers[at % servers.length]!;
-    const fence = lead.nextFence();
-    const holding = {...range, server: id, address, fence, handover: null};
-    return createRangeLease(holding, now);
+    const fence = leader.nextFence();
+    const assignment = {...range, server: id, address, fence, handover: null};
+    return createRangeLease(assignment, now);
   });
-  void saveAssignments(lead, lead.leases);
+  void saveAssignments(leader, leader.leases);
 }
 
 function maintainLease(
-  lead: LeaderState,
-  live: RangeLease,
-  open: ReadonlySet<string>,
+  leader: LeaderState,
+  lease: RangeLease,
+  listed: ReadonlySet<string>,
   now: number,
 ): void {
-  if (live.phase !== 'held' || live.pendingCall !== null) return;
-  const {server} = live.assignment;
-  if (live.source === 'unknown') {
-    return void moveRange(lead, live, 'unknown', server);
+  if (lease.phase !== 'held' || lease.pendingCall !== null) return;
+  const {server} = lease.assignment;
+  if (lease.source === 'unknown') {
+    return void moveRange(leader, lease, 'unknown', server);
   }
-  if (live.source === 'remembered') return confirmLease(lead, live, now);
-  if (server === null) return void moveRange(lead, live, 'free');
-  if (lead.hasEnded(server)) return void moveRange(lead, live, 'ended');
-  if (!open.has(server)) return void moveRange(lead, live, 'leaving');
-  if (now < live.renewAt) return;
-  void grantLease(lead, live);
+  if (lease.source === 'remembered') return confirmLease(leader, lease, now);
+  if (server === null) return void moveRange(leader, lease, 'free');
+  if (leader.hasEnded(server)) return void moveRange(leader, lease, 'ended');
+  if (!listed.has(server)) return void moveRange(leader, lease, 'leaving');
+  if (now < lease.renewAt) return;
+  void grantLease(leader, lease);
 }
--- a/packages/ranges/src/lead-state.ts
+++ b/packages/ranges/src/lead-state.ts
@@ -8,110 +8,118 @@
 import type {RangeAssignment} from './table.js';
 import type {LeaseTiming} from './timing.js';
 
-/** A server of the service, as the leader knows it now. */
+/** A listed server of the service. */
 export interface ListedServer extends ServerCapacity {
   readonly address: string;
 }
 
-/** What leading a service needs. */
+/** Dependencies and settings of a service's leader. */
 export interface ServiceLeaderConfig {
   readonly service: string;
-  /** The holdings that an earlier leader left; null where there are none. */
+  /** The assignments of an earlier leader; null if there was none. */
   readonly inherited: readonly InheritedAssignment[] | null;
   /**
-   * Monotonic time, in ms, until which leaders of earlier epochs of the store's
-   * history may act.
+   * Monotonic time until which leaders of earlier store epochs may act, in ms.
    */
   readonly earlierLeadersActUntil: number;
-  /** Whether keys that no record names are surely held by nobody. */
+  /**
+   * Whether certainly no server holds a lease on keys without an assignment.
+   */
   areUnrecordedKeysFree(): boolean;
   readonly tableStore: Pick<TableStore, 'save'>;
   readonly leaseClient: LeaseClient;
   readonly clock: Clock;
   readonly timing: LeaseTiming;
-  /** Servers in the list that don't leave. */
+  /** The listed servers, except those that are leaving. */
   servers(): readonly ListedServer[];
-  /** Whether the run of a server has provably ended. */
+  /** Whether the server instance is known to have terminated. */
   hasEnded(server: string): boolean;
-  /** Whether the servers that there are are likely to be known by now. */
+  /** Whether the list of servers is likely to be complete. */
   isListSettled(): boolean;
   nextFence(): number;
-  /** Time that also passes while the host is suspended, in ms. */
+  /** A clock that also advances while the host is suspended, in ms. */
   suspendAwareNow(): number;
-  /** Whether this leader may still act. */
+  /** Whether this leader still has the authority to act. */
   mayAct(): boolean;
-  /** Keys whose requests wait for a place now, one for each. */
+  /** The key of each request that is queued for a slot. */
   queuedKeys(): readonly number[];
-  /** A range is served, or was cut. */
+  /** Called when a range becomes served, or when ranges are split or merged. */
   onChange(): void;
-  /** A range is served no more, and its server will be told. */
+  /** Called when a range stops being served, before its lease is released. */
   onWithdrawn(): void;
-  /** Another leader seems to have taken over. */
+  /** Called when a higher fence shows that another leader has taken over. */
   onFenced(): void;
   emit(event: string, fields: Record<string, string | number | null>): void;
 }
 
-/** Why a holding goes to another server. */
+/** Why a range moves to another server. */
 export type MoveReason =
-  /** Nobody held it. */
+  /** It was assigned to no server. */
   | 'free'
-  /** Its record may be outdated, and nobody remembers a newer one. */
+  /** Its stored assignment may be outdated and could not be confirmed. */
   | 'unknown'
-  /** The server's run has ended. */
+  /** The server instance has terminated. */
   | 'ended'
-  /** The server leaves, or is listed no more. */
+  /** The server is leaving or is no longer listed. */
   | 'leaving'
-  /** The hold has lapsed. */
+  /** The lease is about to expire and can't be renewed. */
   | 'lapsed'
-  /** Its load is better served elsewhere. */
+  /** Load balancing. */
   | 'load';
 
-/** A service under way with its leader. */
+/** The mutable state of a service's leader. */
 export interface LeaderState extends ServiceLeaderConfig {
   leases: RangeLease[];
   readonly load: KeyLoad;
   isStopped: boolean;
-  /** Moves for the sake of load under way, and the servers they go to. */
+  /** Number of load balancing moves in progress. */
   activeMoves: number;
+  /** Target servers of those moves. */
   readonly moveTargets: Set<string>;
   nextPlanAt: number;
   lastDecayAt: number;
   save(): Promise<boolean>;
-  /** The holding's server lost it, or can't be told to go on. */
-  reassign(live: RangeLease, why: MoveReason): void;
+  /** Moves the range after its server has lost, or can't renew, the lease. */
+  reassign(lease: RangeLease, reason: MoveReason): void;
 }
 
-/** Grants may go out once the holdings are on record. */
+/**
+ * Stores the assignments and then allows grants for `leases`. Resolves with
+ * false if this leader has been fenced off or stopped.
+ */
 export async function saveAssignments(
-  lead: LeaderState,
-  lives: readonly RangeLease[],
+  leader: LeaderState,
+  leases: readonly RangeLease[],
 ): Promise<boolean> {
-  const isSaved = await lead.save();
+  const isSaved = await leader.save();
   if (!isSaved) return false;
-  for (const live of lives) {
-    if (live.phase === 'waiting') live.phase = 'held';
+  for (const lease of leases) {
+    if (lease.phase === 'waiting') lease.phase = 'held';
   }
   return true;
 }
 
-export function leasesOf(lead: LeaderState, server: string): readonly RangeLease[] {
-  return lead.leases.filter(({assignment: holding}) => holding.server === server);
+export function leasesOf(
+  leader: LeaderState,
+  server: string,
+): readonly RangeLease[] {
+  return leader.leases.filter(({assignment}) => assignment.server === server);
 }
 
-/** A holding as events tell it. */
+/** Returns the log event fields of an assignment. */
 export function toEventFields(
-  holding: RangeAssignment,
+  assignment: RangeAssignment,
 ): Record<string, string | number | null> {
-  const {from, to, server, fence} = holding;
+  const {from, to, server, fence} = assignment;
   return {from, to, server, fence};
 }
 
-/** Tells how an order to a server ended. */
+/** Logs the result of a call to a server. */
 export function emitCallResult(
-  lead: LeaderState,
+  leader: LeaderState,
   event: string,
-  holding: RangeAssignment,
+  assignment: RangeAssignment,
   {kind}: LeaseCallResult,
 ): void {
-  lead.emit(event, {...toEventFields(holding), outcome: kind});
+  leader.emit(event, {...toEventFields(assignment), outcome: kind});
 }
--- a/packages/ranges/src/ledger.ts
+++ b/packages/ranges/src/ledger.ts
@@ -1,43 +1,43 @@
 import type {RangeTable} from './table.js';
 
-/** How writing a table ended. */
+/** Result of writing to the store. */
 export type SaveResult =
   | 'saved'
-  /** A newer leader has begun: this one must stop. */
+  /** A newer leader has started its term; this one must stop. */
   | 'fenced'
-  /** Not written now; it may be tried again. */
+  /** Not acknowledged; the write may be retried. */
   | 'failed';
 
-/** Who leads as the record has it. */
+/** Result of reading the leader's address. */
 export type LeaderRead =
-  /** Null where nobody ever led. */
+  /** The address is null if there has been no leader yet. */
   | {readonly kind: 'read'; readonly address: string | null}
   | {readonly kind: 'failed'};
 
 /**
- * Keeps the tables for good, for one leader at a time: once a leader has
- * begun, nothing that an earlier one writes is accepted, however late it
- * arrives.
+ * Durable store of the range tables. Once a leader has started its term, no
+ * write of an earlier leader is accepted, however late it arrives.
  */
 export interface TableStore {
   /**
-   * Shuts earlier leaders out and records who begins, by its address for the
-   * other routers; yields this leader's epoch, or null. Epochs rise over
-   * restores of the store (`fence.ts`).
+   * Starts a new leader term: fences off earlier leaders and stores this
+   * leader's address for the other routers. Resolves with the term's epoch, or
+   * null if it could not be started. Epochs increase across restores of the
+   * store (`fence.ts`).
    */
   beginTerm(address: string): Promise<number | null>;
   /**
-   * Whether nobody began after this leader, at the time of the question; null
-   * where that isn't known, as after a restore of the store.
+   * Whether no later term had been started when the call was made; null if that
+   * is unknown, for example after a restore of the store.
    */
   isNewestTerm(): Promise<boolean | null>;
-  /** Who began last. */
+  /** Reads the address of the leader that started its term last. */
   lastLeader(): Promise<LeaderRead>;
-  /** The newest tables; null where they can't be read. */
+  /** Reads the newest tables; null if they can't be read. */
   load(): Promise<readonly RangeTable[] | null>;
   /**
-   * Writes a table; one call at a time. It fails once the store was restored:
-   * what is saved stands in the history in which the term began.
+   * Writes a table; one call at a time. It fails after a restore of the store,
+   * because a term may only write in the store epoch in which it began.
    */
   save(table: RangeTable): Promise<SaveResult>;
 }
--- a/packages/ranges/src/live-holding.ts
+++ b/packages/ranges/src/live-holding.ts
@@ -1,49 +1,64 @@
 import type {RangeAssignment, KeyRange} from './table.js';
 
-/** What a leader knows of a holding's server. */
+/** How the leader knows which server a range is assigned to. */
 export type AssignmentSource =
-  /** Recorded in the store's present history. */
+  /** Stored in the current store epoch. */
   | 'recorded'
   /**
-   * Known from this router's term before the store was restored, under the
-   * fence of that term.
+   * Known from this router's own term before the store was restored; the fence
+   * is of that term.
    */
   | 'remembered'
-  /** The record may be outdated: another server may hold the range. */
+  /** The stored assignment may be outdated: another server may hold a lease. */
   | 'unknown';
 
-/** A holding as its leader keeps it. */
+/** An assignment with the state of its lease, as the leader tracks it. */
 export interface RangeLease {
   assignment: RangeAssignment;
   source: AssignmentSource;
-  /** `waiting`: for its record; `moving`: to another server. */
+  /**
+   * `waiting` until the assignment is stored, `held` once leases may be
+   * granted, `moving` while the range is moved to another server.
+   */
   phase: 'waiting' | 'held' | 'moving';
-  /** Whether requests may go to the server. */
+  /** Whether requests may be sent to the server. */
   isServed: boolean;
-  /** A grant is under way; orders on one holding must not overtake another. */
+  /**
+   * The call in progress for this range, or null. Calls are made one at a time,
+   * so that none overtakes another.
+   */
   pendingCall: Promise<void> | null;
-  /** Monotonic time of the next grant, in ms. */
+  /** Monotonic time of the next grant or renewal, in ms. */
   renewAt: number;
-  /** By this monotonic time the server's hold has surely ended, in ms. */
+  /**
+   * Monotonic time by which the server's lease has certainly expired, in ms.
+   */
   expiresAt: number;
-  /** Until then a grant without an answer may still be carried out, in ms. */
+  /**
+   * Monotonic time until which a lease from an unanswered grant of this leader
+   * may exist, in ms.
+   */
   lateGrantUntil: number;
   /**
-   * Until then an earlier leader's grant may still be carried out, in ms; 0
-   * once the server has seen a fence of this leader's for the range.
+   * Monotonic time until which a lease granted by an earlier leader may exist,
+   * in ms; 0 once the server has seen this leader's fence for the range.
    */
   earlierLeaderGrantUntil: number;
   /**
-   * A remembered holding must be confirmed by then, in wakeful ms: this router's
-   * authority in its term before the restore ends.
+   * When this router's authority from its term before the restore ends, in ms
+   * on the suspend-aware clock. A `remembered` assignment must be confirmed by
+   * then.
    */
   confirmDeadline: number;
 }
 
-/** A holding that nobody has granted yet. */
-export function createRangeLease(holding: RangeAssignment, now: number): RangeLease {
+/** Creates the state of a new assignment, before its first grant. */
+export function createRangeLease(
+  assignment: RangeAssignment,
+  now: number,
+): RangeLease {
   return {
-    assignment: holding,
+    assignment,
     source: 'recorded',
     phase: 'waiting',
     isServed: false,
@@ -56,14 +71,14 @@
   };
 }
 
-/** Whether the server surely holds it, and nothing is under way that moves it. */
-export function isSettled(live: RangeLease, now: number): boolean {
-  const {phase, source: standing, isServed, lateGrantUntil: unprovedUntil} = live;
-  if (phase !== 'held' || standing !== 'recorded') return false;
-  return isServed && unprovedUntil <= now;
+/** Whether the server certainly holds the lease and the range isn't moving. */
+export function isSettled(lease: RangeLease, now: number): boolean {
+  const {phase, source, isServed, lateGrantUntil} = lease;
+  if (phase !== 'held' || source !== 'recorded') return false;
+  return isServed && lateGrantUntil <= now;
 }
 
-/** A part of a holding that the same server goes on holding. */
+/** Creates the state of a part of a range that stays at the same server. */
 export function createPartialLease(
   whole: RangeLease,
   {from, to}: KeyRange,
@@ -79,7 +94,7 @@
   };
 }
 
-/** Two neighbours of one server as one holding. */
+/** Merges two adjacent ranges of one server into one. */
 export function createMergedLease(
   left: RangeLease,
   right: RangeLease,
@@ -88,12 +103,20 @@
 ): RangeLease {
   return {
     ...left,
-    assignment: {...left.assignment, to: right.assignment.to, fence, handover: null},
+    assignment: {
+      ...left.assignment,
+      to: right.assignment.to,
+      fence,
+      handover: null,
+    },
     phase: 'waiting',
     pendingCall: null,
     renewAt: now,
     expiresAt: Math.max(left.expiresAt, right.expiresAt),
     lateGrantUntil: Math.max(left.lateGrantUntil, right.lateGrantUntil),
-    earlierLeaderGrantUntil: Math.max(left.earlierLeaderGrantUntil, right.earlierLeaderGrantUntil),
+    earlierLeaderGrantUntil: Math.max(
+      left.earlierLeaderGrantUntil,
+      right.earlierLeaderGrantUntil,
+    ),
   };
 }
--- a/packages/ranges/src/moving.ts
+++ b/packages/ranges/src/moving.ts
@@ -13,119 +13,136 @@
 import type {KeyRange} from './table.js';
 import {RELEASE_TIMEOUT_MS} from './timing.js';
 
-/** Waits for a lapse or a server are looked at again after this time, in ms. */
+/** Interval at which a wait checks its condition, in ms. */
 const POLL_INTERVAL_MS = 50;
-/** A release gets this much time at least, in ms. */
+/** Minimum timeout of a release call, in ms. */
 const MIN_RELEASE_TIMEOUT_MS = 400;
 
-/** Moves a holding to the server that fits best. */
+/**
+ * Moves a range to `preferredServer`, or to the least utilized server if there
+ * is no preference or that server accepts no keys.
+ */
 export async function moveRange(
-  lead: LeaderState,
-  live: RangeLease,
-  why: MoveReason,
-  wanted: string | null = null,
+  leader: LeaderState,
+  lease: RangeLease,
+  reason: MoveReason,
+  preferredServer: string | null = null,
 ): Promise<void> {
-  if (live.phase !== 'held') return;
-  live.phase = 'moving';
-  live.isServed = false;
-  lead.emit('range-leaves', {...toEventFields(live.assignment), why, to: wanted});
-  lead.onWithdrawn();
-  const began = lead.clock.now();
-  const handover = await reclaimRange(lead, live, why);
-  const target = await chooseTarget(lead, live, wanted);
+  if (lease.phase !== 'held') return;
+  lease.phase = 'moving';
+  lease.isServed = false;
+  leader.emit('range-leaves', {
+    ...toEventFields(lease.assignment),
+    why: reason,
+    to: preferredServer,
+  });
+  leader.onWithdrawn();
+  const startedAt = leader.clock.now();
+  const handover = await reclaimRange(leader, lease, reason);
+  const target = await chooseTarget(leader, lease, preferredServer);
   if (target === null) return;
-  const {from, to} = live.assignment;
-  const now = lead.clock.now();
-  const holding = {
+  const {from, to} = lease.assignment;
+  const now = leader.clock.now();
+  const assignment = {
     ...{from, to, handover},
     ...{server: target.id, address: target.address},
-    fence: lead.nextFence(),
+    fence: leader.nextFence(),
   };
-  Object.assign(live, createRangeLease(holding, now));
-  const tookMs = Math.round(now - began);
-  lead.emit('range-assigned', {...toEventFields(live.assignment), tookMs});
-  await saveAssignments(lead, [live]);
+  Object.assign(lease, createRangeLease(assignment, now));
+  const tookMs = Math.round(now - startedAt);
+  leader.emit('range-assigned', {...toEventFields(lease.assignment), tookMs});
+  await saveAssignments(leader, [lease]);
 }
 
-/** Resolves once nobody holds the range, with what the holder gave back. */
+/**
+ * Resolves once no server holds a lease on the range, with the handover data of
+ * the previous server, or null.
+ */
 async function reclaimRange(
-  lead: LeaderState,
-  live: RangeLease,
-  why: MoveReason,
+  leader: LeaderState,
+  lease: RangeLease,
+  reason: MoveReason,
 ): Promise<string | null> {
-  const {assignment: holding} = live;
-  if (holding.server === null) return holding.handover;
-  await live.pendingCall;
-  if (why === 'unknown') {
-    await waitUntil(lead, () => live.expiresAt);
+  const {assignment} = lease;
+  if (assignment.server === null) return assignment.handover;
+  await lease.pendingCall;
+  if (reason === 'unknown') {
+    await waitUntil(leader, () => lease.expiresAt);
     return null;
   }
-  if (why === 'ended') return null;
-  // An earlier leader's grant may still be carried out after the release,
-  // unless the server has seen a higher fence before.
-  if (live.earlierLeaderGrantUntil > 0) await grantLease(lead, live);
-  // After the lapse an answer would tell nothing more; a server that fell
-  // silent must not keep its keys unserved for longer.
-  const left = live.expiresAt - lead.clock.now();
-  const within = Math.min(RELEASE_TIMEOUT_MS, Math.max(MIN_RELEASE_TIMEOUT_MS, left));
-  const end = await lead.leaseClient.release(holding, within);
-  if (end.kind === 'replaced') return null;
-  if (end.kind === 'done') {
-    // A grant without an answer may still be carried out, after the release.
-    await waitUntil(lead, () =>
-      Math.max(live.lateGrantUntil, live.earlierLeaderGrantUntil),
+  if (reason === 'ended') return null;
+  // A delayed grant of an earlier leader could take effect after the release,
+  // unless the server has seen a higher fence first.
+  if (lease.earlierLeaderGrantUntil > 0) await grantLease(leader, lease);
+  // Once the lease has expired, an answer is no longer needed; waiting longer
+  // for an unresponsive server would only keep its keys unserved.
+  const remainingMs = lease.expiresAt - leader.clock.now();
+  const timeoutMs = Math.min(
+    RELEASE_TIMEOUT_MS,
+    Math.max(MIN_RELEASE_TIMEOUT_MS, remainingMs),
+  );
+  const result = await leader.leaseClient.release(assignment, timeoutMs);
+  if (result.kind === 'replaced') return null;
+  if (result.kind === 'done') {
+    // An unanswered grant could still take effect after the release.
+    await waitUntil(leader, () =>
+      Math.max(lease.lateGrantUntil, lease.earlierLeaderGrantUntil),
     );
-    return end.handover;
+    return result.handover;
   }
-  emitCallResult(lead, 'release-failed', holding, end);
-  await waitUntil(lead, () =>
-    lead.hasEnded(holding.server!) ? 0 : live.expiresAt,
+  emitCallResult(leader, 'release-failed', assignment, result);
+  await waitUntil(leader, () =>
+    leader.hasEnded(assignment.server!) ? 0 : lease.expiresAt,
   );
   return null;
 }
 
-async function waitUntil(lead: LeaderState, time: () => number): Promise<void> {
-  while (!lead.isStopped && lead.clock.now() < time()) {
-    await sleep(lead.clock, POLL_INTERVAL_MS);
+async function waitUntil(
+  leader: LeaderState,
+  time: () => number,
+): Promise<void> {
+  while (!leader.isStopped && leader.clock.now() < time()) {
+    await sleep(leader.clock, POLL_INTERVAL_MS);
   }
 }
 
 async function chooseTarget(
-  lead: LeaderState,
-  live: RangeLease,
-  wanted: string | null,
+  leader: LeaderState,
+  lease: RangeLease,
+  preferredServer: string | null,
 ): Promise<ListedServer | null> {
-  while (!lead.isStopped) {
-    const servers = lead.servers().filter(({isOpen}) => isOpen);
-    const exact = servers.find(({id}) => id === wanted);
-    if (exact !== undefined) return exact;
-    if (servers.length > 0) return leastLoaded(lead, servers, live.assignment);
-    await sleep(lead.clock, POLL_INTERVAL_MS);
+  while (!leader.isStopped) {
+    const servers = leader.servers().filter(({isOpen}) => isOpen);
+    const preferred = servers.find(({id}) => id === preferredServer);
+    if (preferred !== undefined) return preferred;
+    if (servers.length > 0)
+      return leastLoaded(leader, servers, lease.assignment);
+    await sleep(leader.clock, POLL_INTERVAL_MS);
   }
   return null;
 }
 
 function leastLoaded(
-  lead: LeaderState,
+  leader: LeaderState,
   servers: readonly ListedServer[],
   range: KeyRange,
 ): ListedServer {
-  const added = lead.load.rateOf(range);
-  const held = loadByServer(lead);
+  const addedRate = leader.load.rateOf(range);
+  const loads = loadByServer(leader);
   let best = servers[0]!;
-  let bestShare = Infinity;
+  let lowestScore = Infinity;
   for (const server of servers) {
-    const {rate, count} = held.get(server.id) ?? NO_LOAD;
-    // Without any load, the one with the fewest holdings.
-    const share = utilization(server, rate + added) + count * 1e-3;
-    if (share >= bestShare) continue;
+    const {rate, count} = loads.get(server.id) ?? NO_LOAD;
+    // The count breaks ties between idle servers: the fewest ranges win.
+    const score = utilization(server, rate + addedRate) + count * 1e-3;
+    if (score >= lowestScore) continue;
     best = server;
-    bestShare = share;
+    lowestScore = score;
   }
   return best;
 }
 
-/** What a server holds: requests a second, and holdings. */
+/** Load assigned to a server: requests per second and number of ranges. */
 interface AssignedLoad {
   rate: number;
   count: number;
@@ -133,13 +150,16 @@
 
 const NO_LOAD: Readonly<AssignedLoad> = {rate: 0, count: 0};
 
-function loadByServer({leases: lives, load}: LeaderState): ReadonlyMap<string, Readonly<AssignedLoad>> {
+function loadByServer({
+  leases,
+  load,
+}: LeaderState): ReadonlyMap<string, Readonly<AssignedLoad>> {
   const sums = new Map<string, AssignedLoad>();
-  for (const {assignment: holding} of lives) {
-    const {server} = holding;
+  for (const {assignment} of leases) {
+    const {server} = assignment;
     if (server === null) continue;
     const sum = sums.get(server) ?? {...NO_LOAD};
-    sum.rate += load.rateOf(holding);
+    sum.rate += load.rateOf(assignment);
     sum.count++;
     sums.set(server, sum);
   }
--- a/packages/ranges/src/orders.ts
+++ b/packages/ranges/src/orders.ts
@@ -1,21 +1,33 @@
 import type {RangeAssignment} from './table.js';
 
-/** How an order to a server ended. */
+/** Result of a lease call to a server. */
 export type LeaseCallResult =
+  /** The server has carried out the call. */
   | {readonly kind: 'done'; readonly handover: string | null}
-  /** The server has seen a higher fence on some of the keys. */
+  /** Rejected: the server has seen a higher fence for some of the keys. */
   | {readonly kind: 'fenced'}
-  /** Another run of a server has the address: the one meant has ended. */
+  /**
+   * Another server instance uses the address; the intended one has terminated.
+   */
   | {readonly kind: 'replaced'}
-  /** Nothing was sent. */
+  /** The call was not carried out and never will be. */
   | {readonly kind: 'unsent'}
-  /** It may be carried out now, or seconds later. */
+  /** Outcome unknown: the call may take effect now, or seconds later. */
   | {readonly kind: 'unproved'};
 
-/** Orders to servers about keys. */
+/** Grants and releases leases on key ranges at servers. */
 export interface LeaseClient {
-  /** Grants a range, or renews it where the same call was made before. */
-  grant(holding: RangeAssignment, holdMs: number, withinMs: number): Promise<LeaseCallResult>;
-  /** Takes a range back; answered when its running work has ended. */
-  release(holding: RangeAssignment, withinMs: number): Promise<LeaseCallResult>;
+  /** Grants a lease, or renews it if it was granted with the same fence. */
+  grant(
+    assignment: RangeAssignment,
+    leaseMs: number,
+    timeoutMs: number,
+  ): Promise<LeaseCallResult>;
+  /**
+   * Ends a lease; answered once the running requests of the range have ended.
+   */
+  release(
+    assignment: RangeAssignment,
+    timeoutMs: number,
+  ): Promise<LeaseCallResult>;
 }
--- a/packages/ranges/src/planner.ts
+++ b/packages/ranges/src/planner.ts
@@ -1,17 +1,23 @@
 import type {KeyRate} from './key-load.js';
-import {KEY_COUNT, rangeSize, type RangeAssignment, type KeyRange} from './table.js';
+import {
+  KEY_COUNT,
+  rangeSize,
+  type RangeAssignment,
+  type KeyRange,
+} from './table.js';
 
-/** A server that may hold keys, as placement sees it. */
+/** What placement needs to know about a server. */
 export interface ServerCapacity {
   readonly id: string;
+  /** Requests that the server processes concurrently. */
   readonly slots: number;
-  /** Time for one request without waiting, in ms. */
+  /** Mean processing time of a request, without queueing, in ms. */
   readonly serviceMs: number;
-  /** Whether it takes further keys. */
+  /** Whether the server accepts further keys. */
   readonly isOpen: boolean;
 }
 
-/** Keys that should go to another server. */
+/** A range to move to another server. */
 export interface PlannedMove {
   readonly range: KeyRange;
   readonly from: string;
@@ -19,110 +25,120 @@
 }
 
 /**
- * Servers' busy shares that differ by less are left alone: with the few requests
- * a second of a server, counts stray that far by chance. Of many servers the
- * extremes stray further, as the root of the logarithm of their number.
+ * Differences in utilization below this are not balanced: a server gets so few
+ * requests per second that its count varies this much by chance. The gap is
+ * multiplied by the square root of the logarithm of the number of servers,
+ * which is how the extremes of that many counts spread.
  */
 const MIN_UTILIZATION_GAP = 0.137;
-/** A move is worth its pause only for this many requests a second. */
+/** Minimum requests per second that justify the pause caused by a move. */
 const MIN_MOVED_RATE = 0.15;
-/** A segment may have this share of the wanted rate, from and to. */
+/** Bounds of a segment's rate, relative to the target rate. */
 const MIN_TARGET_RATIO = 0.4;
 const MAX_TARGET_RATIO = 1.15;
 /**
- * What moved keys cost, for the size of all keys, and what each further
- * holding costs in renewals, against a rate that misses the wanted one.
+ * Weights of a segment's cost, relative to the deviation from the target rate:
+ * the fraction of all keys that moves, and each additional range, which costs
+ * renewals.
  */
 const SIZE_COST = 6;
 const SPLIT_COST = 0.12;
-/** Keys without load that go along, so that fewer holdings are left. */
+/** Up to this many keys without load move along if that avoids a split. */
 const MAX_IDLE_KEYS = 256;
 
-/** The share of its slots that a server's keys keep busy. */
+/** The share of a server's slots that requests at this rate occupy. */
 export function utilization(server: ServerCapacity, rate: number): number {
   return (rate * server.serviceMs) / 1000 / server.slots;
 }
 
-/** A holding with its own keys' load. */
+/** An assignment with the rates of its keys. */
 interface AssignmentLoad {
   readonly assignment: RangeAssignment;
   readonly rates: readonly KeyRate[];
 }
 
-/** What a plan begins with. */
+/** What moves are planned from. */
 export interface PlanInput {
   readonly assignments: readonly RangeAssignment[];
   readonly servers: readonly ServerCapacity[];
   readonly rates: readonly KeyRate[];
 }
 
-/** Moves that may be made side by side. */
+/** Moves that may run concurrently. */
 export interface Plan {
   readonly moves: readonly PlannedMove[];
-  /** Whether some server among them is given more than it can do. */
+  /** Whether one of the moves relieves an overloaded server. */
   readonly isUrgent: boolean;
 }
 
 /**
- * The moves that even out how busy the servers are: from the busiest to the
- * idlest, each of about half their difference and of few keys, `most` of them
- * and one for each server; none where they are even, or nothing that can go
- * would help.
+ * Plans moves that balance the servers' utilization. Each move takes from the
+ * most to the least utilized server a segment of few keys with the rate that
+ * equalizes the two. There are up to `maxMoves` moves and at most one per
+ * server; none if the utilization is balanced or no segment is suitable.
  *
  * @example
  * ```ts
- * const {moves} = planMoves({holdings, servers, rates: load.rates([])}, 4);
+ * const {moves} = planMoves({assignments, servers, rates: load.rates([])}, 4);
  * moves.forEach(startMove);
  * ```
  */
 export function planMoves(
-  {assignments: holdings, servers, rates}: PlanInput,
-  most: number,
+  {assignments, servers, rates}: PlanInput,
+  maxMoves: number,
 ): Plan {
-  const loaded = ratesByAssignment(holdings, rates);
+  const loaded = ratesByAssignment(assignments, rates);
   const totals = rateByServer(loaded);
-  const shareOf = (server: ServerCapacity): number =>
+  const utilizationOf = (server: ServerCapacity): number =>
     utilization(server, totals.get(server.id) ?? 0);
   const sorted = servers
     .filter(({isOpen}) => isOpen)
-    .sort((a, b) => shareOf(b) - shareOf(a));
+    .sort((a, b) => utilizationOf(b) - utilizationOf(a));
   const minGap = MIN_UTILIZATION_GAP * Math.sqrt(Math.log(sorted.length));
   const moves: PlannedMove[] = [];
   let isUrgent = false;
-  let idlestAt = sorted.length - 1;
-  for (let at = 0; at < idlestAt && moves.length < most; at++) {
-    const busiest = sorted[at]!;
-    const idlest = sorted[idlestAt]!;
-    const gap = shareOf(busiest) - shareOf(idlest);
+  let leastAt = sorted.length - 1;
+  for (let at = 0; at < leastAt && moves.length < maxMoves; at++) {
+    const mostUtilized = sorted[at]!;
+    const leastUtilized = sorted[leastAt]!;
+    const gap = utilizationOf(mostUtilized) - utilizationOf(leastUtilized);
     if (gap < minGap) break;
-    const own = loaded.filter(({assignment: holding}) => holding.server === busiest.id);
-    const range = bestSegment(own, rateToEqualize(busiest, idlest, gap));
+    const own = loaded.filter(
+      ({assignment}) => assignment.server === mostUtilized.id,
+    );
+    const range = bestSegment(
+      own,
+      rateToEqualize(mostUtilized, leastUtilized, gap),
+    );
     if (range === null) continue;
-    moves.push({range, from: busiest.id, to: idlest.id});
-    isUrgent ||= shareOf(busiest) > 1;
-    idlestAt--;
+    moves.push({range, from: mostUtilized.id, to: leastUtilized.id});
+    isUrgent ||= utilizationOf(mostUtilized) > 1;
+    leastAt--;
   }
   return {moves, isUrgent};
 }
 
+/** Splits sorted rates by the assignments that their keys belong to. */
 function ratesByAssignment(
-  holdings: readonly RangeAssignment[],
+  assignments: readonly RangeAssignment[],
   rates: readonly KeyRate[],
 ): readonly AssignmentLoad[] {
-  const sorted = [...holdings].sort((a, b) => a.from - b.from);
+  const sorted = [...assignments].sort((a, b) => a.from - b.from);
   let at = 0;
   return sorted.map(assignment => {
     while (at < rates.length && rates[at]!.key < assignment.from) at++;
     const first = at;
     while (at < rates.length && rates[at]!.key <= assignment.to) at++;
-    return {assignment: assignment, rates: rates.slice(first, at)};
+    return {assignment, rates: rates.slice(first, at)};
   });
 }
 
-function rateByServer(loaded: readonly AssignmentLoad[]): ReadonlyMap<string, number> {
+function rateByServer(
+  loaded: readonly AssignmentLoad[],
+): ReadonlyMap<string, number> {
   const totals = new Map<string, number>();
-  for (const {assignment: holding, rates} of loaded) {
-    const {server} = holding;
+  for (const {assignment, rates} of loaded) {
+    const {server} = assignment;
     if (server === null) continue;
     const sum = rates.reduce((total, {rate}) => total + rate, 0);
     totals.set(server, (totals.get(server) ?? 0) + sum);
@@ -130,42 +146,43 @@
   return totals;
 }
 
+/** The rate whose move equalizes the utilization of the two servers. */
 function rateToEqualize(
-  busiest: ServerCapacity,
-  idlest: ServerCapacity,
+  mostUtilized: ServerCapacity,
+  leastUtilized: ServerCapacity,
   gap: number,
 ): number {
-  const perRate =
-    busiest.serviceMs / 1000 / busiest.slots +
-    idlest.serviceMs / 1000 / idlest.slots;
-  return gap / perRate;
+  const gapPerRate =
+    mostUtilized.serviceMs / 1000 / mostUtilized.slots +
+    leastUtilized.serviceMs / 1000 / leastUtilized.slots;
+  return gap / gapPerRate;
 }
 
-/** The segment that fits the wanted rate best for the keys that it moves. */
+/** The segment with the lowest cost for the target rate; null if none suits. */
 function bestSegment(
   loaded: readonly AssignmentLoad[],
-  wanted: number,
+  targetRate: number,
 ): KeyRange | null {
   let best: KeyRange | null = null;
   let bestCost = Infinity;
-  for (const {assignment: holding, rates} of loaded) {
+  for (const {assignment, rates} of loaded) {
     let end = 0;
     let sum = 0;
     for (let first = 0; first < rates.length; first++) {
       while (end < rates.length) {
-        const more = sum + rates[end]!.rate;
-        if (more > wanted * MAX_TARGET_RATIO) break;
-        sum = more;
+        const extended = sum + rates[end]!.rate;
+        if (extended > targetRate * MAX_TARGET_RATIO) break;
+        sum = extended;
         end++;
       }
-      if (end > first && isWorthwhile(sum, wanted)) {
+      if (end > first && isWorthwhile(sum, targetRate)) {
         const from = rates[first]!.key;
         const last = rates[end - 1]!.key;
         const range = {
-          from: first === 0 ? extendToEdge(from, holding.from) : from,
-          to: end === rates.length ? extendToEdge(last, holding.to) : last,
+          from: first === 0 ? extendToEdge(from, assignment.from) : from,
+          to: end === rates.length ? extendToEdge(last, assignment.to) : last,
         };
-        const cost = segmentCost(holding, range, sum, wanted);
+        const cost = segmentCost(assignment, range, sum, targetRate);
         if (cost < bestCost) {
           best = range;
           bestCost = cost;
@@ -178,24 +195,24 @@
   return best;
 }
 
-function isWorthwhile(rate: number, wanted: number): boolean {
-  return rate >= Math.max(MIN_MOVED_RATE, wanted * MIN_TARGET_RATIO);
+function isWorthwhile(rate: number, targetRate: number): boolean {
+  return rate >= Math.max(MIN_MOVED_RATE, targetRate * MIN_TARGET_RATIO);
 }
 
-/** The holding's edge, where only few keys without load lie between. */
+/** Extends a segment to the range's edge if few keys lie between them. */
 function extendToEdge(key: number, edge: number): number {
   return Math.abs(edge - key) <= MAX_IDLE_KEYS ? edge : key;
 }
 
 function segmentCost(
-  holding: KeyRange,
+  assignment: KeyRange,
   range: KeyRange,
   rate: number,
-  wanted: number,
+  targetRate: number,
 ): number {
-  const pieces =
-    Number(range.from > holding.from) + Number(range.to < holding.to);
-  const miss = Math.abs(wanted - rate) / wanted;
+  const splits =
+    Number(range.from > assignment.from) + Number(range.to < assignment.to);
+  const deviation = Math.abs(targetRate - rate) / targetRate;
   const size = rangeSize(range) / KEY_COUNT;
-  return miss + size * SIZE_COST + pieces * SPLIT_COST;
+  return deviation + size * SIZE_COST + splits * SPLIT_COST;
 }
--- a/packages/ranges/src/table-writer.ts
+++ b/packages/ranges/src/table-writer.ts
@@ -2,44 +2,44 @@
 import type {TableStore, SaveResult} from './ledger.js';
 import type {RangeTable} from './table.js';
 
-/** Writes a service's table, one call at a time. */
+/** Writes a service's table, one write at a time. */
 export interface TableWriter {
   /**
-   * Resolves with true once the table as it is now, or a newer one, is
-   * written; with false once this leader is shut out or has stopped.
+   * Resolves with true once the current or a newer table is stored; with false
+   * if this leader has been fenced off or stopped.
    */
   save(): Promise<boolean>;
   stop(): void;
 }
 
-/** Pause before a write that failed is tried again, in ms. */
+/** Delay before a failed write is retried, in ms. */
 const RETRY_DELAY_MS = 150;
 
 /**
- * Makes the writer of the table that `current` yields. Changes made while a
- * write is under way share the next one.
+ * Creates a writer for the table that `currentTable` returns. Changes made
+ * during a write are combined in the next one.
  *
  * @example
  * ```ts
- * const loop = createSaveLoop(ledger, clock, () => table, onFenced);
- * if (await loop.save()) grant();
+ * const writer = createTableWriter(tableStore, clock, () => table, onFenced);
+ * if (await writer.save()) grantLeases();
  * ```
  */
 export function createTableWriter(
-  ledger: Pick<TableStore, 'save'>,
+  tableStore: Pick<TableStore, 'save'>,
   clock: Clock,
-  current: () => RangeTable,
+  currentTable: () => RangeTable,
   onFenced: () => void,
 ): TableWriter {
   let isStopped = false;
-  let running: Promise<boolean> | null = null;
-  let queued: Promise<boolean> | null = null;
+  let activeWrite: Promise<boolean> | null = null;
+  let nextWrite: Promise<boolean> | null = null;
 
   const write = async (): Promise<boolean> => {
     while (!isStopped) {
-      const end: SaveResult = await ledger.save(current());
-      if (end === 'saved') return true;
-      if (end === 'fenced') {
+      const result: SaveResult = await tableStore.save(currentTable());
+      if (result === 'saved') return true;
+      if (result === 'fenced') {
         isStopped = true;
         onFenced();
         return false;
@@ -51,20 +51,20 @@
 
   const start = (): Promise<boolean> => {
     const run = write().finally(() => {
-      if (running === run) running = null;
+      if (activeWrite === run) activeWrite = null;
     });
-    running = run;
+    activeWrite = run;
     return run;
   };
 
   return {
     save() {
-      if (running === null) return start();
-      queued ??= running.then(() => {
-        queued = null;
+      if (activeWrite === null) return start();
+      nextWrite ??= activeWrite.then(() => {
+        nextWrite = null;
         return start();
       });
-      return queued;
+      return nextWrite;
     },
     stop() {
       isStopped = true;
--- a/packages/ranges/src/table.ts
+++ b/packages/ranges/src/table.ts
@@ -2,36 +2,36 @@
 export const MAX_KEY = 65_535;
 export const KEY_COUNT = MAX_KEY + 1;
 
-/** Keys from `from` to `to`, both included. */
+/** Keys from `from` to `to`, both inclusive. */
 export interface KeyRange {
   readonly from: number;
   readonly to: number;
 }
 
-/** A range and the server that may hold it. */
+/** A range and the server that may hold its lease. */
 export interface RangeAssignment extends KeyRange {
-  /** The server's id; null where no server may hold the range. */
+  /** Id of the server instance; null if the range is assigned to no server. */
   readonly server: string | null;
   /** `ip:port` of that server. */
   readonly address: string;
-  /** Rises with each holding that a key was ever part of. */
+  /** Fencing token; increases with every assignment that a key belongs to. */
   readonly fence: number;
-  /** What the last holder gave back, for the next one. */
+  /** Opaque data from the previous server's release, passed to the next one. */
   readonly handover: string | null;
 }
 
-/** Who may hold a service's keys; the holdings cover all keys in order. */
+/** The assignments of a service; they cover all keys, in order. */
 export interface RangeTable {
   readonly service: string;
   readonly assignments: readonly RangeAssignment[];
 }
 
-/** A range as routers see it: the server that serves it, or null. */
+/** A range and the server that requests go to; null while none serves it. */
 export interface ServedRange extends KeyRange {
   readonly server: string | null;
 }
 
-/** The item of sorted, gapless ranges that holds `key`. */
+/** Finds the range that contains `key`; the ranges are sorted, without gaps. */
 export function findRange<T extends KeyRange>(
   ranges: readonly T[],
   key: number,
@@ -48,7 +48,7 @@
   return undefined;
 }
 
-/** Cuts all keys into `count` ranges of about the same size. */
+/** Splits all keys into `count` ranges of about the same size. */
 export function splitEvenly(count: number): readonly KeyRange[] {
   const size = KEY_COUNT / count;
   return Array.from({length: count}, (_, at) => ({
--- a/packages/ranges/src/timing.ts
+++ b/packages/ranges/src/timing.ts
@@ -1,60 +1,62 @@
 /**
- * How long a server holds keys after a grant, in ms. Short, since the keys of
- * a server that vanished wait that long; long enough for another leader to be
- * found and to renew: at least 1 s for the group to notice, 0.3 s for the
- * next join, and a few exchanges with the store and the servers.
+ * Duration of a lease after a grant, in ms. It is short because the keys of a
+ * failed server stay unserved for that long. It is long enough for a new leader
+ * to be elected and to renew the leases: at least 1 s until the group detects
+ * the failure, 0.3 s until the next join, and a few round trips to the store
+ * and the servers.
  */
 const LEASE_MS = 3_600;
-/** Servers' clocks may run 2 % slow. */
+/** Servers' clocks may run up to 2 % slow. */
 const MAX_CLOCK_DRIFT = 0.02;
-/** For timers that fire late and messages under way, in ms. */
+/** Allowance for late timers and messages in transit, in ms. */
 const EXPIRY_MARGIN_MS = 150;
-/** Grants are renewed after this time, in ms: three chances in a hold. */
+/** Leases are renewed after this time, in ms: three attempts per lease. */
 const RENEW_AFTER_MS = 1_100;
-/** A grant without an answer by then counts as unproved, in ms. */
+/** After this time without an answer, a grant's outcome is unknown, in ms. */
 const GRANT_TIMEOUT_MS = 700;
 /**
- * A release is answered when running work has ended: the longest work of the
- * deployments known takes some 5 s. After that the hold has lapsed anyway.
+ * Timeout of a release call, in ms. A server answers once the running requests
+ * have finished, which takes up to about 5 s in the known deployments. After
+ * the timeout, the lease has expired anyway.
  */
 export const RELEASE_TIMEOUT_MS = 6_000;
 /**
- * A leader that can't reach the store acts on for this time, in ms: longer
- * than the outages that deployments report (9 s), since nobody else can
- * become leader meanwhile. A successor waits as long before it gives keys of
- * a server it can't reach to another.
+ * How long a leader may continue to act without reaching the store, in ms. It
+ * exceeds the store outages reported by deployments (9 s), because no other
+ * router can become leader during an outage. A new leader waits as long before
+ * it reassigns the keys of a server that it can't reach.
  */
 export const AUTHORITY_MS = 12_000;
 
-/** Times of a service's holds, for one deployment. */
+/** Durations of a service's leases, for one deployment. */
 export interface LeaseTiming {
-  /** What a grant asks for, in ms. */
+  /** The lease duration that a grant requests, in ms. */
   readonly leaseMs: number;
-  /** Grants are renewed after this time, in ms. */
+  /** Leases are renewed after this time, in ms. */
   readonly renewAfterMs: number;
-  /** A grant without an answer by then counts as unproved, in ms. */
+  /** After this time without an answer, a grant's outcome is unknown, in ms. */
   readonly grantTimeoutMs: number;
-  /** When a hold granted at `at` at the latest has surely ended. */
+  /** When a lease granted no later than `at` has certainly expired. */
   expiryOf(at: number): number;
 }
 
 /**
- * The times where servers grant holds of up to `holdMaxMs`: shorter holds are
- * renewed as many times.
+ * Creates the timing for servers that accept leases of up to `holdMaxMs`. For
+ * shorter leases, renewals and timeouts are scaled down proportionally.
  *
  * @example
  * ```ts
- * const timing = createTiming(10_000);
- * const lapseAt = timing.lapseOf(clock.now());
+ * const timing = createLeaseTiming(10_000);
+ * const expiresAt = timing.expiryOf(clock.now());
  * ```
  */
 export function createLeaseTiming(holdMaxMs: number): LeaseTiming {
-  const holdMs = Math.min(LEASE_MS, holdMaxMs);
-  const share = holdMs / LEASE_MS;
+  const leaseMs = Math.min(LEASE_MS, holdMaxMs);
+  const scale = leaseMs / LEASE_MS;
   return {
-    leaseMs: holdMs,
-    renewAfterMs: RENEW_AFTER_MS * share,
-    grantTimeoutMs: GRANT_TIMEOUT_MS * share,
-    expiryOf: at => at + holdMs * (1 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN_MS,
+    leaseMs,
+    renewAfterMs: RENEW_AFTER_MS * scale,
+    grantTimeoutMs: GRANT_TIMEOUT_MS * scale,
+    expiryOf: at => at + leaseMs * (1 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN_MS,
   };
 }
--- a/packages/ranges/test/fake-cluster.ts
+++ b/packages/ranges/test/fake-cluster.ts
@@ -3,57 +3,57 @@
 import type {LeaseCallResult, LeaseClient} from '@banyandrum/ranges/orders.js';
 import type {RangeAssignment, RangeTable} from '@banyandrum/ranges/table.js';
 
-/** What a fake server believes to hold. */
+/** A lease as a fake server tracks it. */
 interface FakeLease {
   readonly from: number;
   readonly to: number;
   readonly fence: number;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
-/** A server that obeys orders, at times late, and with a slow clock. */
+/** A server that carries out calls, sometimes late, and with a slow clock. */
 export interface FakeServer {
   readonly id: string;
   readonly address: string;
   isUp: boolean;
-  /** Leaders whose orders don't get through. */
+  /** Numbers of the leaders that can't reach this server. */
   readonly unreachableBy: Set<number>;
   leases: FakeLease[];
-  /** The highest fence that each part of the keys was ordered with. */
+  /** Every range that was granted, with its fence. */
   seenFences: FakeLease[];
 }
 
-/** How often things go wrong, 0 to 1. */
+/** Probabilities of faults, from 0 to 1. */
 export interface FaultRates {
-  /** An order is carried out 2 to 12 s later, without an answer. */
+  /** A call is carried out 2 to 12 s later and not answered. */
   late: number;
-  /** An order's answer is lost. */
+  /** The answer to a call is lost. */
   unanswered: number;
-  /** A write to the ledger fails. */
+  /** A write to the table store fails. */
   unsaved: number;
 }
 
-/** Servers, the ledger, and a check that no key has two holders. */
+/** Servers and a table store; checks that no key has two lease holders. */
 export interface FakeCluster {
   readonly servers: FakeServer[];
   readonly faultRates: FaultRates;
   readonly violations: string[];
   createLeaseClient(leader: number): LeaseClient;
   createTableStore(): TableStore;
-  /** Servers that hold the key now. */
+  /** Ids of the servers that hold a lease on the key now. */
   holdersOf(key: number): readonly string[];
 }
 
-/** Clocks of servers that measure holds run up to this much slow. */
+/** How much longer than requested a lease lasts on a server's slow clock. */
 const MAX_CLOCK_SLOWDOWN = 1.02;
 const STEP_KEYS = 512;
 
 /**
- * Makes the world that leaders act on.
+ * Creates the servers and the table store that test leaders work with.
  *
  * @example
  * ```ts
- * const world = createFakeWorld(clock, random, ['s1', 's2']);
+ * const cluster = createFakeCluster(clock, random, ['s1', 's2']);
  * ```
  */
 export function createFakeCluster(
@@ -69,17 +69,18 @@
     leases: [],
     seenFences: [],
   }));
-  const luck: FaultRates = {late: 0, unanswered: 0, unsaved: 0};
+  const faultRates: FaultRates = {late: 0, unanswered: 0, unsaved: 0};
   const violations: string[] = [];
   const granted = new Map<number, {fence: number; server: string}>();
   let tables = new Map<string, RangeTable>();
   let terms = 0;
-  let owner = 0;
+  let newestTerm = 0;
 
   const holdsKey = (server: FakeServer, key: number): boolean =>
     server.isUp &&
     server.leases.some(
-      ({from, to, until}) => from <= key && key <= to && until > clock.now(),
+      ({from, to, expiresAt}) =>
+        from <= key && key <= to && expiresAt > clock.now(),
     );
 
   const holdersOf = (key: number): readonly string[] =>
@@ -105,37 +106,49 @@
 
   const applyGrant = (
     server: FakeServer,
-    holding: RangeAssignment,
-    until: number,
+    assignment: RangeAssignment,
+    expiresAt: number,
   ): boolean => {
-    const {from, to, fence} = holding;
-    if (server.seenFences.some(seen => overlaps(seen, holding) && seen.fence > fence))
+    const {from, to, fence} = assignment;
+    if (
+      server.seenFences.some(
+        seen => overlaps(seen, assignment) && seen.fence > fence,
+      )
+    )
       return false;
-    server.leases = server.leases.flatMap(hold => subtractRange(hold, holding));
-    const hold = {from, to, fence, until};
-    server.leases.push(hold);
-    server.seenFences.push(hold);
-    if (until > clock.now()) check(holding, server.id);
+    server.leases = server.leases.flatMap(lease =>
+      subtractRange(lease, assignment),
+    );
+    const lease = {from, to, fence, expiresAt};
+    server.leases.push(lease);
+    server.seenFences.push(lease);
+    if (expiresAt > clock.now()) check(assignment, server.id);
     return true;
   };
 
-  const applyRelease = (server: FakeServer, holding: RangeAssignment): void => {
-    server.leases = server.leases.flatMap(hold => subtractRange(hold, holding));
+  const applyRelease = (
+    server: FakeServer,
+    assignment: RangeAssignment,
+  ): void => {
+    server.leases = server.leases.flatMap(lease =>
+      subtractRange(lease, assignment),
+    );
   };
 
-  const carryOut = (
+  const deliver = (
     leader: number,
-    holding: RangeAssignment,
+    assignment: RangeAssignment,
     apply: (server: FakeServer, arrivedAt: number) => boolean,
-    withinMs: number,
+    timeoutMs: number,
   ): Promise<LeaseCallResult> =>
     new Promise(resolve => {
-      const server = servers.find(({address, id, isUp, unreachableBy: cutFrom}) => {
-        const isIt = address === holding.address && id === holding.server;
-        return isIt && isUp && !cutFrom.has(leader);
+      const server = servers.find(({address, id, isUp, unreachableBy}) => {
+        const isAddressed =
+          address === assignment.address && id === assignment.server;
+        return isAddressed && isUp && !unreachableBy.has(leader);
       });
-      const end = (kind: 'unsent' | 'unproved'): void => {
-        clock.after(withinMs, () => resolve({kind}));
+      const resolveAtTimeout = (kind: 'unsent' | 'unproved'): void => {
+        clock.after(timeoutMs, () => resolve({kind}));
       };
       if (server === undefined) {
         clock.after(400, () => resolve({kind: 'unsent'}));
@@ -144,15 +157,16 @@
       clock.after(1 + random() * 4, () => {
         const draw = random();
         const arrivedAt = clock.now();
-        if (draw < luck.late) {
+        if (draw < faultRates.late) {
           clock.after(
             2_000 + random() * 10_000,
             () => void apply(server, arrivedAt),
           );
-          return end('unproved');
+          return resolveAtTimeout('unproved');
         }
         const isDone = apply(server, arrivedAt);
-        if (draw < luck.late + luck.unanswered) return end('unproved');
+        if (draw < faultRates.late + faultRates.unanswered)
+          return resolveAtTimeout('unproved');
         clock.after(1 + random() * 4, () =>
           resolve(
             isDone
@@ -165,29 +179,34 @@
 
   return {
     servers,
-    faultRates: luck,
+    faultRates,
     violations,
     holdersOf,
     createLeaseClient: leader => ({
-      grant(holding, holdMs, withinMs) {
-        return carryOut(
+      grant(assignment, leaseMs, timeoutMs) {
+        return deliver(
           leader,
-          holding,
-          // The time counts from the arrival, however late it is obeyed.
+          assignment,
+          // A lease starts when the call arrives, however late it is carried
+          // out.
           (server, arrivedAt) =>
-            applyGrant(server, holding, arrivedAt + holdMs * MAX_CLOCK_SLOWDOWN),
-          withinMs,
+            applyGrant(
+              server,
+              assignment,
+              arrivedAt + leaseMs * MAX_CLOCK_SLOWDOWN,
+            ),
+          timeoutMs,
         );
       },
-      release: (holding, withinMs) =>
-        carryOut(
+      release: (assignment, timeoutMs) =>
+        deliver(
           leader,
-          holding,
+          assignment,
           server => {
-            applyRelease(server, holding);
+            applyRelease(server, assignment);
             return true;
           },
-          withinMs,
+          timeoutMs,
         ),
     }),
     createTableStore() {
@@ -195,17 +214,17 @@
       return {
         async beginTerm() {
           term = ++terms;
-          owner = term;
+          newestTerm = term;
           return term;
         },
-        isNewestTerm: async () => owner === term,
+        isNewestTerm: async () => newestTerm === term,
         lastLeader: async () => ({kind: 'read', address: null}),
         load: async () => [...tables.values()],
         save: table =>
           new Promise<SaveResult>(resolve => {
             clock.after(2 + random() * 8, () => {
-              if (owner !== term) return resolve('fenced');
-              if (random() < luck.unsaved) return resolve('failed');
+              if (newestTerm !== term) return resolve('fenced');
+              if (random() < faultRates.unsaved) return resolve('failed');
               tables = new Map(tables).set(table.service, table);
               resolve('saved');
             });
@@ -215,9 +234,12 @@
   };
 }
 
-function subtractRange(hold: FakeLease, {from, to}: RangeAssignment): readonly FakeLease[] {
-  if (hold.to < from || to < hold.from) return [hold];
-  const left = {...hold, to: from - 1};
-  const right = {...hold, from: to + 1};
+function subtractRange(
+  lease: FakeLease,
+  {from, to}: RangeAssignment,
+): readonly FakeLease[] {
+  if (lease.to < from || to < lease.from) return [lease];
+  const left = {...lease, to: from - 1};
+  const right = {...lease, from: to + 1};
   return [left, right].filter(each => each.from <= each.to);
 }
--- a/packages/ranges/test/harness.ts
+++ b/packages/ranges/test/harness.ts
@@ -14,67 +14,69 @@
 const TICK_MS = 50;
 const FENCES_PER_TERM = 4_096;
 
-/** A leader of the scene. */
+/** A leader under test. */
 export interface TestLeader {
   readonly serviceLeader: ServiceLeader;
-  /** Whether its process stands still. */
+  /** Whether its process is suspended. */
   isFrozen: boolean;
+  /** Whether it has been fenced off by a later leader. */
   isReplaced: boolean;
-  /** When another was chosen in its place, in ms; it can't tell. */
+  /** When its successor was started, in ms; the leader doesn't know this. */
   replacedAt: number;
 }
 
-/** Leaders and the world that they act on. */
+/** Leaders, and the fake cluster that they work with. */
 export interface Harness {
   readonly clock: ManualClock;
   readonly cluster: FakeCluster;
-  /** Ids that the list of servers lacks. */
+  /** Ids missing from the list of servers. */
   readonly unlisted: Set<string>;
-  /** Whether the list is taken as whole; at once unless a test says so. */
+  /** When the list of servers counts as complete, in ms; by default at once. */
   listSettledAt: number;
+  /** Starts a leader that succeeds the previous one. */
   startLeader(): Promise<TestLeader>;
-  /** The last leader's process does nothing any more. */
+  /** Suspends the process of the latest leader. */
   freezeLatestLeader(): void;
-  /** Lets time pass, with the ticks of all leaders that run. */
+  /** Advances the clock and runs the ticks of all running leaders. */
   advance(ms: number): Promise<void>;
 }
 
-/** Makes a scene with the servers named; its luck follows from the seed. */
+/** Creates a harness with the given servers; the seed determines the faults. */
 export function createHarness(seed: number, ids: readonly string[]): Harness {
   const random = createRandom(seed);
   const clock = createManualClock(1_000);
-  const world = createFakeCluster(clock, random, ids);
+  const cluster = createFakeCluster(clock, random, ids);
   const unlisted = new Set<string>();
   const leaders: TestLeader[] = [];
-  const scene: Harness = {
+  const harness: Harness = {
     clock,
-    cluster: world,
+    cluster,
     unlisted,
     listSettledAt: 0,
     async startLeader() {
-      const ledger = world.createTableStore();
+      const tableStore = cluster.createTableStore();
       const number = leaders.length;
-      const epoch = (await ledger.beginTerm(`10.0.1.${number}:7200`))!;
-      const stored = (await ledger.load())!;
+      const epoch = (await tableStore.beginTerm(`10.0.1.${number}:7200`))!;
+      const stored = (await tableStore.load())!;
       let fence = 1;
-      const lead = createServiceLeader({
+      const serviceLeader = createServiceLeader({
         service: 'rounds',
         inherited: stored[0] ? inheritRecorded(stored[0], epoch) : null,
         earlierLeadersActUntil: -Infinity,
         areUnrecordedKeysFree: () => true,
         suspendAwareNow: () => clock.now(),
-        tableStore: ledger,
-        leaseClient: world.createLeaseClient(number),
+        tableStore,
+        leaseClient: cluster.createLeaseClient(number),
         clock,
         timing: createLeaseTiming(10_000),
         servers: () =>
-          world.servers
+          cluster.servers
             .filter(({id}) => !unlisted.has(id))
             .map(({id, address, isUp}) => ({
               ...{id, address, slots: 2, serviceMs: 400, isOpen: isUp},
             })),
         hasEnded: () => false,
-        isListSettled: () => clock.now() >= scene.listSettledAt,
+        isListSettled: () => clock.now() >= harness.listSettledAt,
         queuedKeys: () => [],
         nextFence: () => epoch * FENCES_PER_TERM + fence++,
         mayAct: () =>
@@ -85,16 +87,16 @@
         onWithdrawn: () => undefined,
         onFenced() {
           leader.isReplaced = true;
-          lead.stop();
+          serviceLeader.stop();
         },
         emit: () => undefined,
       });
       const leader: TestLeader = {
-        ...{serviceLeader: lead, isFrozen: false, isReplaced: false},
+        ...{serviceLeader, isFrozen: false, isReplaced: false},
         replacedAt: Infinity,
       };
-      const last = leaders.at(-1);
-      if (last !== undefined) last.replacedAt = clock.now();
+      const previous = leaders.at(-1);
+      if (previous !== undefined) previous.replacedAt = clock.now();
       leaders.push(leader);
       return leader;
     },
@@ -103,17 +105,17 @@
     },
     async advance(ms) {
       for (let passed = 0; passed < ms; passed += TICK_MS) {
-        for (const {serviceLeader: lead, isFrozen, isReplaced: isOver} of leaders) {
-          if (!isFrozen && !isOver) lead.tick();
+        for (const {serviceLeader, isFrozen, isReplaced} of leaders) {
+          if (!isFrozen && !isReplaced) serviceLeader.tick();
         }
         await clock.advance(TICK_MS);
       }
     },
   };
-  return scene;
+  return harness;
 }
 
-/** Ranges that the leader has at no server. */
-export function countUnserved({serviceLeader: lead}: TestLeader): number {
-  return lead.served().filter(({server}) => server === null).length;
+/** Counts the ranges of the leader that no server serves. */
+export function countUnserved({serviceLeader}: TestLeader): number {
+  return serviceLeader.served().filter(({server}) => server === null).length;
 }
--- a/packages/ranges/test/lead-service.test.ts
+++ b/packages/ranges/test/lead-service.test.ts
@@ -4,140 +4,157 @@
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
 import {createHarness, countUnserved} from './harness.js';
 
-void tap.test('every key gets one holder', async t => {
-  const {cluster: world, startLeader: begin, advance: pass} = createHarness(1, ['a', 'b', 'c']);
-  const leader = await begin();
-  await pass(500);
+void tap.test('every key has one lease holder', async t => {
+  const {cluster, startLeader, advance} = createHarness(1, ['a', 'b', 'c']);
+  const leader = await startLeader();
+  await advance(500);
   t.equal(countUnserved(leader), 0);
   for (let key = 0; key <= MAX_KEY; key += 997) {
     const server = findRange(leader.serviceLeader.served(), key)?.server;
-    t.same(world.holdersOf(key), [server]);
+    t.same(cluster.holdersOf(key), [server]);
   }
-  await pass(10_000);
-  t.equal(world.holdersOf(4_711).length, 1, 'grants are renewed');
+  await advance(10_000);
+  t.equal(cluster.holdersOf(4_711).length, 1, 'leases are renewed');
 });
 
-// A planned stop of a server: its keys are given back and granted on at once,
-// so callers see no pause but that of running requests.
+// During a planned shutdown, a server's leases are released and granted to
+// other servers at once, so callers only wait for running requests.
 void tap.test('keys of a leaving server move at once', async t => {
-  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(2, ['a', 'b', 'c']);
-  const leader = await begin();
-  await pass(1_000);
+  const {cluster, unlisted, startLeader, advance} = createHarness(2, [
+    'a',
+    'b',
+    'c',
+  ]);
+  const leader = await startLeader();
+  await advance(1_000);
   unlisted.add('a');
-  await pass(300);
+  await advance(300);
   t.equal(countUnserved(leader), 0);
   t.same(
     leader.serviceLeader.served().filter(({server}) => server === 'a'),
     [],
   );
-  t.same(world.violations, []);
+  t.same(cluster.violations, []);
 });
 
-// A server is cut off from everybody but may go on serving: its keys must stay
-// unserved until its hold has surely lapsed, and be served soon afterwards.
-void tap.test('keys of an unreachable server wait for the lapse', async t => {
-  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(3, ['a', 'b', 'c']);
-  const leader = await begin();
-  await pass(2_000);
-  world.servers[0]!.unreachableBy.add(0);
+// An unreachable server may continue to serve its keys, so they must stay
+// unserved until its leases have certainly expired, and be served soon after.
+void tap.test('keys of an unreachable server wait for the expiry', async t => {
+  const {cluster, unlisted, startLeader, advance} = createHarness(3, [
+    'a',
+    'b',
+    'c',
+  ]);
+  const leader = await startLeader();
+  await advance(2_000);
+  cluster.servers[0]!.unreachableBy.add(0);
   unlisted.add('a');
-  await pass(2_000);
+  await advance(2_000);
   t.ok(countUnserved(leader) > 0);
-  await pass(4_000);
+  await advance(4_000);
   t.equal(countUnserved(leader), 0);
-  t.same(world.violations, []);
+  t.same(cluster.violations, []);
 });
 
-// A leader stands still while another takes over and moves keys; it wakes up
-// and goes on with what it had begun. Nothing it does may reach a server.
-void tap.test('a leader that wakes up changes nothing', async t => {
-  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(4, ['a', 'b', 'c']);
-  const old = await begin();
-  await pass(1_500);
+// A suspended leader resumes after another has taken over and moved keys. The
+// calls that it then makes must have no effect at the servers.
+void tap.test('a leader that resumes changes nothing', async t => {
+  const {cluster, unlisted, startLeader, advance} = createHarness(4, [
+    'a',
+    'b',
+    'c',
+  ]);
+  const old = await startLeader();
+  await advance(1_500);
   old.isFrozen = true;
-  const next = await begin();
-  await pass(500);
+  const next = await startLeader();
+  await advance(500);
   unlisted.add('a');
-  await pass(1_000);
+  await advance(1_000);
   old.isFrozen = false;
-  await pass(5_000);
+  await advance(5_000);
   t.equal(countUnserved(next), 0);
-  t.equal(old.isReplaced, true, 'the old one knows');
-  t.same(world.violations, []);
+  t.equal(old.isReplaced, true, 'the previous leader has been fenced off');
+  t.same(cluster.violations, []);
 });
 
-void tap.test('busy keys are spread over the servers', async t => {
-  const {startLeader: begin, advance: pass} = createHarness(5, ['a', 'b', 'c', 'd']);
-  const {serviceLeader: lead} = await begin();
+void tap.test('busy keys are balanced over the servers', async t => {
+  const {startLeader, advance} = createHarness(5, ['a', 'b', 'c', 'd']);
+  const {serviceLeader} = await startLeader();
   const rates = new Map<string | null, number>();
   for (let round = 0; round < 200; round++) {
-    for (let key = 26_000; key < 26_012; key++) lead.load.add(key, 0.05);
-    await pass(50);
+    for (let key = 26_000; key < 26_012; key++)
+      serviceLeader.load.add(key, 0.05);
+    await advance(50);
   }
   for (let key = 26_000; key < 26_012; key++) {
-    const {server} = findRange(lead.served(), key)!;
+    const {server} = findRange(serviceLeader.served(), key)!;
     rates.set(server, (rates.get(server) ?? 0) + 1);
   }
   t.ok(rates.size >= 3, JSON.stringify([...rates]));
 });
 
-// The old leader is cut off from the store, so another is chosen, but it still
-// reaches a server that the new one doesn't, and renews its keys. They must
-// not go to another server before the old one's authority has ended.
+// A leader that loses the store is replaced, but still reaches a server that
+// its successor can't reach, and renews that server's leases. The successor
+// must not reassign the keys before the previous leader's authority has ended.
 void tap.test('a successor waits for the end of the authority', async t => {
-  const {cluster: world, unlisted, startLeader: begin, advance: pass} = createHarness(6, ['a', 'b', 'c']);
-  await begin();
-  await pass(1_500);
-  world.servers[0]!.unreachableBy.add(1);
-  const next = await begin();
+  const {cluster, unlisted, startLeader, advance} = createHarness(6, [
+    'a',
+    'b',
+    'c',
+  ]);
+  await startLeader();
+  await advance(1_500);
+  cluster.servers[0]!.unreachableBy.add(1);
+  const next = await startLeader();
   unlisted.add('a');
-  await pass(AUTHORITY_MS - 1_000);
+  await advance(AUTHORITY_MS - 1_000);
   t.ok(countUnserved(next) > 0);
-  t.same(world.violations, []);
-  await pass(7_000);
+  t.same(cluster.violations, []);
+  await advance(7_000);
   t.equal(countUnserved(next), 0);
-  t.same(world.violations, []);
+  t.same(cluster.violations, []);
 });
 
-// Orders obeyed seconds late or without an answer, failed writes, servers cut
-// off, leaders replaced while they stand still: whatever the order of events,
-// no key has two holders and fences rise.
+// Calls carried out seconds late or not answered, failed writes, unreachable
+// servers, and suspended leaders that are replaced: in any sequence of these
+// faults, no key has two lease holders, and fences increase.
 const SEEDS = [
   ...Array.from({length: 40}, (_, at) => at + 1),
-  // Each showed two holders once: an earlier leader's grant, carried out after
-  // its successor's release.
+  // These seeds once produced two lease holders: an earlier leader's grant was
+  // carried out after its successor's release.
   ...[53, 67, 80, 100, 107, 113, 120, 142, 178, 217, 226, 258],
 ];
 for (const seed of SEEDS) {
-  void tap.test(`random troubles, seed ${seed}`, async t => {
+  void tap.test(`random faults, seed ${seed}`, async t => {
     const random = createRandom(seed * 7_919);
-    const scene = createHarness(seed, ['a', 'b', 'c', 'd']);
-    const {cluster: world, unlisted, startLeader: begin, advance: pass} = scene;
-    let leader = await begin();
+    const harness = createHarness(seed, ['a', 'b', 'c', 'd']);
+    const {cluster, unlisted, startLeader, advance} = harness;
+    let leader = await startLeader();
     for (let round = 0; round < 40; round++) {
-      world.faultRates.late = random() < 0.4 ? 0.3 : 0;
-      world.faultRates.unanswered = random() < 0.4 ? 0.3 : 0;
-      world.faultRates.unsaved = random() < 0.3 ? 0.5 : 0;
-      const server = world.servers[Math.floor(random() * 4)]!;
+      cluster.faultRates.late = random() < 0.4 ? 0.3 : 0;
+      cluster.faultRates.unanswered = random() < 0.4 ? 0.3 : 0;
+      cluster.faultRates.unsaved = random() < 0.3 ? 0.5 : 0;
+      const server = cluster.servers[Math.floor(random() * 4)]!;
       const draw = random();
       const anyLeader = Math.floor(random() * 6);
       if (draw < 0.2) toggleNumber(server.unreachableBy, anyLeader);
       else if (draw < 0.3) toggle(unlisted, server.id);
       else if (draw < 0.4) leader.isFrozen = !leader.isFrozen;
-      else if (draw < 0.5) leader = await begin();
+      else if (draw < 0.5) leader = await startLeader();
       for (let hot = 0; hot < 20; hot++) {
         leader.serviceLeader.load.add(Math.floor(random() * 3_000) + 20_000, 1);
       }
-      await pass(200 + random() * 1_500);
+      await advance(200 + random() * 1_500);
     }
-    t.same(world.violations, []);
+    t.same(cluster.violations, []);
     unlisted.clear();
-    for (const {unreachableBy: cutFrom} of world.servers) cutFrom.clear();
-    Object.assign(world.faultRates, {late: 0, unanswered: 0, unsaved: 0});
-    leader = await begin();
-    await pass(25_000);
-    t.equal(countUnserved(leader), 0, 'all is served again');
-    t.same(world.violations, []);
+    for (const {unreachableBy} of cluster.servers) unreachableBy.clear();
+    Object.assign(cluster.faultRates, {late: 0, unanswered: 0, unsaved: 0});
+    leader = await startLeader();
+    await advance(25_000);
+    t.equal(countUnserved(leader), 0, 'all keys are served again');
+    t.same(cluster.violations, []);
   });
 }
 
--- a/packages/ranges/test/recovery.test.ts
+++ b/packages/ranges/test/recovery.test.ts
@@ -6,32 +6,32 @@
 const KEYS = Array.from({length: 64}, (_, at) => at * 1_024);
 const STEP_MS = 50;
 const ROUNDS = 40;
-/** A key must be served again within this time of a loss, in ms. */
+/** Maximum time that a key is without a server after a failure, in ms. */
 const MAX_LOSS_GAP_MS = 4_000;
-/** The same for a planned move, in ms. */
+/** The same for a planned shutdown, in ms. */
 const MAX_PLANNED_GAP_MS = 500;
 
-type Fault = (scene: Harness, random: () => number) => Promise<void>;
+type Fault = (harness: Harness, random: () => number) => Promise<void>;
 
-/** How long each key that `trouble` left without a server was so, in ms. */
-async function measureGaps(trouble: Fault): Promise<readonly number[]> {
+/** Measures how long keys are without a server after `fault`, in ms. */
+async function measureGaps(fault: Fault): Promise<readonly number[]> {
   const gaps: number[] = [];
   for (let seed = 1; seed <= ROUNDS; seed++) {
     const random = createRandom(seed * 104_729);
-    const scene = createHarness(seed, ['a', 'b', 'c', 'd']);
-    await scene.startLeader();
-    await scene.advance(3_000 + Math.floor(random() * 24) * STEP_MS);
-    await trouble(scene, random);
+    const harness = createHarness(seed, ['a', 'b', 'c', 'd']);
+    await harness.startLeader();
+    await harness.advance(3_000 + Math.floor(random() * 24) * STEP_MS);
+    await fault(harness, random);
     const since = new Map<number, number>();
     for (let passed = 0; passed < 20_000; passed += STEP_MS) {
       for (const key of KEYS) {
-        const isHeld = scene.cluster.holdersOf(key).length > 0;
+        const isHeld = harness.cluster.holdersOf(key).length > 0;
         if (!isHeld && !since.has(key)) since.set(key, passed);
         if (!isHeld || !since.has(key)) continue;
         gaps.push(passed - since.get(key)!);
         since.delete(key);
       }
-      await scene.advance(STEP_MS);
+      await harness.advance(STEP_MS);
     }
     gaps.push(...[...since.values()].map(() => Infinity));
   }
@@ -47,31 +47,33 @@
   return `${gaps.length} gaps; p50 ${p50} ms, p90 ${p90} ms, p99 ${p99} ms, longest ${gaps.at(-1) ?? 0} ms`;
 }
 
-function loseServer({cluster: world}: Harness): void {
-  world.servers[0]!.isUp = false;
+function failServer({cluster}: Harness): void {
+  cluster.servers[0]!.isUp = false;
 }
 
-/** The store notices a lost leader, and another begins. */
+/**
+ * Time until the store detects a failed leader and the next one starts, in ms.
+ */
 const SUCCESSION_MS = 1_700;
 
 const FAULTS: readonly (readonly [string, Fault, number])[] = [
-  ['a server is lost', async scene => loseServer(scene), MAX_LOSS_GAP_MS],
+  ['a server is lost', async harness => failServer(harness), MAX_LOSS_GAP_MS],
   [
     'the leader is lost',
-    async scene => {
-      scene.freezeLatestLeader();
-      await scene.advance(SUCCESSION_MS);
-      await scene.startLeader();
+    async harness => {
+      harness.freezeLatestLeader();
+      await harness.advance(SUCCESSION_MS);
+      await harness.startLeader();
     },
     MAX_LOSS_GAP_MS,
   ],
   [
     'a server and the leader are lost',
-    async scene => {
-      loseServer(scene);
-      scene.freezeLatestLeader();
-      await scene.advance(SUCCESSION_MS);
-      await scene.startLeader();
+    async harness => {
+      failServer(harness);
+      harness.freezeLatestLeader();
+      await harness.advance(SUCCESSION_MS);
+      await harness.startLeader();
     },
     MAX_LOSS_GAP_MS,
   ],
@@ -82,12 +84,12 @@
   ],
 ];
 
-// Whatever is lost, callers see its keys unserved for some seconds: the holds
-// of a server that can't be asked must lapse first, and those of a lost leader
-// must not. The bounds are what users were promised.
-for (const [name, trouble, boundMs] of FAULTS) {
+// After a failure, keys may be unserved for a few seconds: leases of a failed
+// server must expire first, but those granted by a failed leader must not. The
+// bounds are those promised to users.
+for (const [name, fault, boundMs] of FAULTS) {
   void tap.test(`keys without a server: ${name}`, async t => {
-    const gaps = await measureGaps(trouble);
+    const gaps = await measureGaps(fault);
     t.comment(describe(gaps));
     const todo = knownRed(t.name) ?? false;
     t.ok(percentile(gaps, 0.99) < boundMs, describe(gaps), {todo});
