--- a/packages/ranges/src/balancing.ts
+++ b/packages/ranges/src/balancing.ts
@@ -16,7 +16,7 @@
 import {planMoves} from './planner.js';
 import type {KeyRange} from './table.js';
 
-/** A range is not split beyond this number per server: each costs renewals. */
+/** A server with this many ranges gets none split: each costs renewals. */
 const MAX_RANGES_PER_SERVER = 8;
 
 /**
--- a/packages/ranges/src/fence.ts
+++ b/packages/ranges/src/fence.ts
@@ -12,7 +12,7 @@
 
 /**
  * Combines a store epoch and a term number into the epoch of a leader's term.
- * Restoring the store from a backup starts a new store epoch and resets the
+ * Restoring the store from a snapshot starts a new store epoch and resets the
  * term numbers, so the store epoch forms the high-order part.
  *
  * @example
--- a/packages/ranges/src/lead-state.ts
+++ b/packages/ranges/src/lead-state.ts
@@ -47,7 +47,7 @@
   onChange(): void;
   /** Called when a range stops being served, before its lease is released. */
   onWithdrawn(): void;
-  /** Called when a higher fence shows that another leader has taken over. */
+  /** Called when a server or the store reports a newer leader. */
   onFenced(): void;
   emit(event: string, fields: Record<string, string | number | null>): void;
 }
@@ -62,7 +62,7 @@
   | 'ended'
   /** The server is leaving or is no longer listed. */
   | 'leaving'
-  /** The lease is about to expire and can't be renewed. */
+  /** The lease has expired, or is about to, and the server is unreachable. */
   | 'lapsed'
   /** Load balancing. */
   | 'load';
@@ -78,8 +78,9 @@
   readonly moveTargets: Set<string>;
   nextPlanAt: number;
   lastDecayAt: number;
+  /** Writes the table; see `TableWriter.save`. */
   save(): Promise<boolean>;
-  /** Moves the range after its server has lost, or can't renew, the lease. */
+  /** Moves the range because its server has lost or can't renew the lease. */
   reassign(lease: RangeLease, reason: MoveReason): void;
 }
 
--- a/packages/ranges/src/live-holding.ts
+++ b/packages/ranges/src/live-holding.ts
@@ -78,7 +78,7 @@
   return isServed && lateGrantUntil <= now;
 }
 
-/** Creates the state of a part of a range that stays at the same server. */
+/** Creates the state of a part of a split range, still at the same server. */
 export function createPartialLease(
   whole: RangeLease,
   {from, to}: KeyRange,
--- a/packages/ranges/test/recovery.test.ts
+++ b/packages/ranges/test/recovery.test.ts
@@ -6,7 +6,7 @@
 const KEYS = Array.from({length: 64}, (_, at) => at * 1_024);
 const STEP_MS = 50;
 const ROUNDS = 40;
-/** Maximum time that a key is without a server after a failure, in ms. */
+/** Bound of the p99 of the time without a server after a failure, in ms. */
 const MAX_LOSS_GAP_MS = 4_000;
 /** The same for a planned shutdown, in ms. */
 const MAX_PLANNED_GAP_MS = 500;
