--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -1,62 +1,67 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {ServerInfo} from '@banyandrum/dispatch/backend.js';
-import {bornOfRun, nameOfRun} from '@banyandrum/dispatch/server-run.js';
+import {
+  instanceStartedAt,
+  serverName,
+} from '@banyandrum/dispatch/server-run.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {ListChange, ListRead} from './platform.js';
+import type {ServerListChange, ServerListRead} from './platform.js';
 
-/** The list of backend servers at one point of its history. */
+/** The list of backend servers at one position of its change log. */
 export interface ListSnapshot {
   readonly cursor: number;
   readonly servers: readonly ServerInfo[];
 }
 
-/** The newest list of backend servers that this router knows. */
+/** Keeps the newest list of backend servers that this router knows. */
 export interface ServerList {
-  /** Takes a read of the platform's own list. */
-  take(read: ListRead): void;
-  /** Takes another router's list, where it is newer. */
-  takeSnapshot(snapshot: ListSnapshot, ageMs: number): void;
+  /** Applies the result of a read of the platform's list. */
+  applyRead(read: ServerListRead): void;
+  /** Applies another router's list if it is newer. */
+  applySnapshot(snapshot: ListSnapshot, ageMs: number): void;
   snapshot(): ListSnapshot | null;
   /**
-   * Marks a run as leaving for the rest of its lifetime, regardless of later
-   * lists. Returns whether it was not marked before.
+   * Marks an instance as leaving for the rest of its lifetime, regardless of
+   * later lists. Returns whether it was not marked before.
    */
   noteLeaving(id: string): boolean;
-  /** Changes whenever the snapshot holds other servers, or in another state. */
+  /** Changes whenever the servers of the snapshot or their states change. */
   version(): number;
-  /** Where the next read goes on; null: it takes the whole list. */
+  /** Where the next read continues; null if it must read the whole list. */
   cursor(): number | null;
-  /** Time since a server came that was never listed before, in ms. */
-  settledMs(): number;
+  /** Time since a server was listed for the first time, in ms. */
+  sinceNewServerMs(): number;
   /** Time since the platform confirmed this list, in ms. */
   ageMs(): number;
   has(id: string): boolean;
-  /** Whether another run of a server is listed at this one's address. */
+  /** Whether a newer server is listed at the address of this one. */
   isReplaced(id: string): boolean;
   subscribe(listener: () => void): void;
 }
 
 /**
- * Entries that are removed are kept until so long after the last failed read:
- * servers couldn't renew theirs either, and they come back when the platform
- * does. In ms, at the most; it must also end soon after the time by which a
- * server that is really gone must have no request any more.
+ * Longest time after the last failed read during which removed entries are
+ * kept, in ms. While the platform was unavailable, servers couldn't renew their
+ * entries either; they register again once it is back. The time must end soon
+ * after the deadline by which a server that really left may get no more
+ * requests, so `leaveWithinMs` plus the margin limits it as well.
  */
-const RETURN_MS = 2_200;
-const RETURN_MARGIN_MS = 200;
+const MAX_REMOVAL_GRACE_MS = 2_200;
+const REMOVAL_GRACE_MARGIN_MS = 200;
 /**
- * Runs of servers that are remembered, to tell that one took another's place:
- * some weeks of restarts at the size designed for, in about 1 MB.
+ * Limit of remembered server instances, which are needed to detect that one
+ * replaced another: a few weeks of restarts at the largest supported size, in
+ * about 1 MB.
  */
-const MAX_SEEN = 10_000;
+const MAX_REMEMBERED_INSTANCES = 10_000;
 
 /**
- * Keeps the list.
+ * Creates an empty list.
  *
  * @example
  * ```ts
  * const list = createServerList(clock, emit, 2_000);
- * list.take(await platform.readServers(list.cursor()));
+ * list.applyRead(await platform.readServers(list.cursor()));
  * ```
  */
 export function createServerList(
@@ -64,26 +69,29 @@
   emit: Emit,
   leaveWithinMs: number,
 ): ServerList {
-  const returnMs = Math.min(RETURN_MS, leaveWithinMs + RETURN_MARGIN_MS);
+  const removalGraceMs = Math.min(
+    MAX_REMOVAL_GRACE_MS,
+    leaveWithinMs + REMOVAL_GRACE_MARGIN_MS,
+  );
   const servers = new Map<string, ServerInfo>();
-  /** The newest run under each name that has a run listed. */
-  const runs = new Map<string, string>();
-  /** Address and order of first sight of each server ever listed. */
+  /** The newest instance of each server name that has a listed instance. */
+  const instances = new Map<string, string>();
+  /** Address and order of first listing of each server ever listed. */
   const seen = new Map<string, {address: string; order: number}>();
-  const removals = new Set<string>();
-  /** Servers that a restored list lacks, until they had time to register. */
-  const unregistered = new Set<string>();
-  /** Runs that were ever reported as leaving; none of them comes back. */
-  const leavingRuns = new Set<string>();
+  const pendingRemovals = new Set<string>();
+  /** Servers missing from a restored list that have time to register again. */
+  const awaitingRegistration = new Set<string>();
+  /** Instances that were ever reported as leaving, which is final for each. */
+  const leavingInstances = new Set<string>();
   const listeners = new Set<() => void>();
   let cursor: number | null = null;
   let version = 0;
   let confirmedAt = -Infinity;
-  let troubleAt = -Infinity;
+  let lastFailureAt = -Infinity;
   let restoredAt = -Infinity;
-  let grewAt = clock.now();
+  let lastNewServerAt = clock.now();
 
-  const changed = (): void => {
+  const notifyChanged = (): void => {
     version++;
     listeners.forEach(listener => listener());
   };
@@ -96,14 +104,15 @@
     }
   };
 
-  const noteLeavingRun = (id: string): void => {
-    leavingRuns.add(id);
-    if (leavingRuns.size > MAX_SEEN) leavingRuns.delete([...leavingRuns][0]!);
+  const rememberLeavingInstance = (id: string): void => {
+    leavingInstances.add(id);
+    if (leavingInstances.size > MAX_REMEMBERED_INSTANCES)
+      leavingInstances.delete([...leavingInstances][0]!);
   };
 
   /** Returns whether the list changed. */
   const markLeaving = (id: string): boolean => {
-    noteLeavingRun(id);
+    rememberLeavingInstance(id);
     const known = servers.get(id);
     if (known === undefined || known.isLeaving) return false;
     servers.set(id, {...known, isLeaving: true});
@@ -111,35 +120,38 @@
     return true;
   };
 
-  /** Other routers may learn it before the platform's list shows it. */
+  /**
+   * Marks the servers that another router lists as leaving, even if its list is
+   * older: it may know of a report that isn't in the platform's list yet.
+   */
   const markListedLeaving = (listed: readonly ServerInfo[]): boolean => {
     const newlyLeaving = listed.filter(
-      ({id, isLeaving}) => isLeaving && !leavingRuns.has(id),
+      ({id, isLeaving}) => isLeaving && !leavingInstances.has(id),
     );
     return newlyLeaving.map(({id}) => markLeaving(id)).includes(true);
   };
 
-  const put = (entry: ServerInfo): boolean => {
-    unregistered.delete(entry.id);
-    if (entry.isLeaving) noteLeavingRun(entry.id);
-    const server = leavingRuns.has(entry.id)
+  const upsert = (entry: ServerInfo): boolean => {
+    awaitingRegistration.delete(entry.id);
+    if (entry.isLeaving) rememberLeavingInstance(entry.id);
+    const server = leavingInstances.has(entry.id)
       ? {...entry, isLeaving: true}
       : entry;
-    const last = runs.get(nameOfRun(server.id));
-    if (last !== undefined && last !== server.id) {
-      // What an earlier run said may come later, from another router.
-      if (isEarlier(server.id, last)) return false;
-      emit('server-reborn', {server: server.id, before: last});
-      remove(last);
+    const lastId = instances.get(serverName(server.id));
+    if (lastId !== undefined && lastId !== server.id) {
+      // An entry of an earlier instance may arrive late, from another router.
+      if (isEarlierInstance(server.id, lastId)) return false;
+      emit('server-reborn', {server: server.id, before: lastId});
+      remove(lastId);
     }
-    runs.set(nameOfRun(server.id), server.id);
-    if (removals.delete(server.id)) version++;
+    instances.set(serverName(server.id), server.id);
+    if (pendingRemovals.delete(server.id)) version++;
     const known = servers.get(server.id);
     servers.set(server.id, server);
     if (!seen.has(server.id)) {
       seen.set(server.id, {address: server.address, order: version});
-      grewAt = clock.now();
-      if (seen.size > MAX_SEEN) forgetOldest();
+      lastNewServerAt = clock.now();
+      if (seen.size > MAX_REMEMBERED_INSTANCES) forgetOldest();
     }
     if (known !== undefined && isSameServer(known, server)) return false;
     const {id, service, address, isLeaving, coldMs} = server;
@@ -149,88 +161,93 @@
 
   const remove = (id: string): boolean => {
     if (!servers.delete(id)) return false;
-    removals.delete(id);
-    if (runs.get(nameOfRun(id)) === id) runs.delete(nameOfRun(id));
+    pendingRemovals.delete(id);
+    if (instances.get(serverName(id)) === id) instances.delete(serverName(id));
     emit('server-removed', {server: id, cursor});
     return true;
   };
 
-  const expire = (id: string): boolean => {
+  const removeAfterGrace = (id: string): boolean => {
     if (!servers.has(id)) return false;
-    unregistered.delete(id);
-    if (clock.now() - troubleAt > returnMs) return remove(id);
-    // Others are told of it by the version: with an older one they would take
-    // the cursor that lies behind the removal, and keep the server for good.
-    if (!removals.has(id)) version++;
-    removals.add(id);
+    awaitingRegistration.delete(id);
+    if (clock.now() - lastFailureAt > removalGraceMs) return remove(id);
+    // The snapshot no longer includes the server, so its version must change.
+    // Otherwise other routers would adopt the cursor after the removal without
+    // the removal itself, and keep the server for good.
+    if (!pendingRemovals.has(id)) version++;
+    pendingRemovals.add(id);
     return false;
   };
 
-  /** What can't be read says nothing of whether the server is there. */
-  const tellUnreadable = (server: string, detail: string): boolean => {
+  /** An unreadable entry doesn't show whether the server still exists. */
+  const reportUnreadable = (server: string, detail: string): boolean => {
     emit('server-unreadable', {server, detail});
     return false;
   };
 
-  const apply = (change: ListChange): boolean => {
-    if (change.kind === 'listed') return put(change.server);
+  const apply = (change: ServerListChange): boolean => {
+    if (change.kind === 'listed') return upsert(change.server);
     if (change.kind === 'removed') {
-      return expire(runs.get(nameOfRun(change.id)) ?? change.id);
+      return removeAfterGrace(
+        instances.get(serverName(change.id)) ?? change.id,
+      );
     }
-    return tellUnreadable(change.id, change.detail);
+    return reportUnreadable(change.id, change.detail);
   };
 
-  const applyWhole = (
-    changes: readonly ListChange[],
+  const applyWholeList = (
+    changes: readonly ServerListChange[],
     isRestored: boolean,
   ): boolean => {
     const listed = new Set<string>();
     for (const change of changes) {
-      if (change.kind === 'listed') listed.add(nameOfRun(change.server.id));
-      if (change.kind === 'unreadable') listed.add(nameOfRun(change.id));
+      if (change.kind === 'listed') listed.add(serverName(change.server.id));
+      if (change.kind === 'unreadable') listed.add(serverName(change.id));
     }
-    const gone = [...servers.keys()].filter(id => !listed.has(nameOfRun(id)));
-    if (isRestored) gone.forEach(id => unregistered.add(id));
-    const expired = gone.filter(id => !unregistered.has(id));
-    const results = [...changes.map(apply), ...expired.map(expire)];
+    const missing = [...servers.keys()].filter(
+      id => !listed.has(serverName(id)),
+    );
+    if (isRestored) missing.forEach(id => awaitingRegistration.add(id));
+    const expired = missing.filter(id => !awaitingRegistration.has(id));
+    const results = [...changes.map(apply), ...expired.map(removeAfterGrace)];
     return results.includes(true);
   };
 
-  const expireUnregistered = (): boolean => {
-    if (clock.now() - restoredAt <= returnMs) return false;
-    return [...unregistered].map(expire).includes(true);
+  const removeUnregistered = (): boolean => {
+    if (clock.now() - restoredAt <= removalGraceMs) return false;
+    return [...awaitingRegistration].map(removeAfterGrace).includes(true);
   };
 
-  const applyDue = (): boolean => {
-    if (clock.now() - troubleAt <= returnMs) return false;
-    const due = [...removals];
-    removals.clear();
-    return due.map(remove).includes(true);
+  const applyDueRemovals = (): boolean => {
+    if (clock.now() - lastFailureAt <= removalGraceMs) return false;
+    const dueIds = [...pendingRemovals];
+    pendingRemovals.clear();
+    return dueIds.map(remove).includes(true);
   };
 
   return {
-    take(read) {
+    applyRead(read) {
       if (read.kind === 'failed') {
-        troubleAt = clock.now();
+        lastFailureAt = clock.now();
         return;
       }
       const {isRestored = false} = read;
       if (isRestored) restoredAt = clock.now();
       const results = [
         read.isWhole
-          ? applyWhole(read.changes, isRestored)
+          ? applyWholeList(read.changes, isRestored)
           : read.changes.map(apply).includes(true),
-        expireUnregistered(),
-        applyDue(),
+        removeUnregistered(),
+        applyDueRemovals(),
       ];
       cursor = read.cursor;
       confirmedAt = clock.now();
-      if (results.includes(true)) changed();
+      if (results.includes(true)) notifyChanged();
     },
-    takeSnapshot(snapshot, ageMs) {
+    applySnapshot(snapshot, ageMs) {
       const hasNewLeaving = markListedLeaving(snapshot.servers);
       if (cursor !== null && snapshot.cursor < cursor) {
-        if (hasNewLeaving) changed();
+        if (hasNewLeaving) notifyChanged();
         return;
       }
       confirmedAt = Math.max(confirmedAt, clock.now() - ageMs);
@@ -238,30 +255,32 @@
       cursor = snapshot.cursor;
       const results = [
         hasNewLeaving,
-        isNewer && applyWhole(snapshot.servers.map(toListed), false),
-        applyDue(),
+        isNewer && applyWholeList(snapshot.servers.map(toListed), false),
+        applyDueRemovals(),
       ];
-      if (results.includes(true)) changed();
+      if (results.includes(true)) notifyChanged();
     },
     snapshot: () =>
       cursor === null
         ? null
         : {
             cursor,
-            // What was removed is no news to others, though this router keeps
-            // it for a while: they would list a server again that is gone.
-            servers: [...servers.values()].filter(({id}) => !removals.has(id)),
+            // Entries kept for the grace time are left out: other routers would
+            // list a removed server again.
+            servers: [...servers.values()].filter(
+              ({id}) => !pendingRemovals.has(id),
+            ),
           },
     noteLeaving(id) {
-      if (leavingRuns.has(id)) return false;
+      if (leavingInstances.has(id)) return false;
       const hasChanged = markLeaving(id);
       emit('server-says-leaving', {server: id});
-      if (hasChanged && cursor !== null) changed();
+      if (hasChanged && cursor !== null) notifyChanged();
       return true;
     },
     version: () => version,
     cursor: () => cursor,
-    settledMs: () => clock.now() - grewAt,
+    sinceNewServerMs: () => clock.now() - lastNewServerAt,
     ageMs: () => clock.now() - confirmedAt,
     has: id => servers.has(id),
     isReplaced(id) {
@@ -269,10 +288,10 @@
       if (old === undefined || servers.has(id)) return false;
       for (const server of servers.values()) {
         if (server.address !== old.address) continue;
-        // It obeys what the run before it was ordered: its keys are taken back
-        // like those of any server that goes.
-        if (nameOfRun(server.id) === nameOfRun(id)) continue;
-        // Entries of servers that ended long ago may linger in the list.
+        // A later instance of the same server accepts lease calls meant for the
+        // earlier one, so its keys are revoked as for any server that leaves.
+        if (serverName(server.id) === serverName(id)) continue;
+        // Entries of servers that terminated long ago may remain in the list.
         if (seen.get(server.id)!.order > old.order) return true;
       }
       return false;
@@ -281,16 +300,16 @@
   };
 }
 
-/** Whether the run began before the other one of its name. */
-function isEarlier(id: string, other: string): boolean {
-  return (bornOfRun(id) ?? 0) < (bornOfRun(other) ?? 0);
+/** Whether the instance started before the other one of the same server. */
+function isEarlierInstance(id: string, other: string): boolean {
+  return (instanceStartedAt(id) ?? 0) < (instanceStartedAt(other) ?? 0);
 }
 
-function toListed(server: ServerInfo): ListChange {
+function toListed(server: ServerInfo): ServerListChange {
   return {kind: 'listed', server};
 }
 
-/** Whether routers treat the two entries alike. */
+/** Whether the two entries are equivalent for routing. */
 export function isSameServer(a: ServerInfo, b: ServerInfo): boolean {
   return (
     a.address === b.address &&
--- a/packages/gateway/src/share-suspects.ts
+++ b/packages/gateway/src/share-suspects.ts
@@ -6,8 +6,11 @@
 import type {Platform} from './platform.js';
 import {repeat, type RepeatConfig} from './repeat.js';
 
-/** What sharing what is suspected needs of the router. */
-export interface ShareConfig extends Pick<RepeatConfig, 'emit' | 'goesOn'> {
+/** What `shareSuspects` needs from the router. */
+export interface ShareSuspectsConfig extends Pick<
+  RepeatConfig,
+  'emit' | 'goesOn'
+> {
   readonly clock: Clock;
   readonly suspects: Suspects;
   readonly leadership: Leadership;
@@ -17,48 +20,55 @@
   unixNow(): number;
 }
 
-/** Pause after a call that failed, in ms. */
+/** Delay after a failed call, in ms. */
 const RETRY_MS = 500;
-/** Pause before a router that starts reads again what it could not read, in ms. */
-const REREAD_MS = 400;
-/** It serves after this time, in ms, though it can't know what is quarantined. */
-const UNKNOWN_MS = 2_000;
-/** Clearings stay in the record for this time, as its audit trail, in ms. */
-const KEEP_MS = 90 * 86_400_000;
+/** Interval at which a starting router tries to load the records, in ms. */
+const LOAD_RETRY_MS = 400;
+/**
+ * A starting router serves after this time, in ms, even if it doesn't know yet
+ * which requests are quarantined.
+ */
+const MAX_STARTUP_WAIT_MS = 2_000;
+/** Cleared rows stay in the store for this time as an audit trail, in ms. */
+const CLEARED_RETENTION_MS = 90 * 86_400_000;
 
 /**
- * Shares what this router knows of requests under which servers ended. Each
- * tells the leader, which alone quarantines them, tells all, and writes down
- * what must outlive every router. The result tells whether this router knows
- * what is quarantined: each one that starts would end servers with the same
- * request once more.
+ * Shares what routers know of requests during which servers crashed. Each
+ * router reports to the leader. Only the leader quarantines requests, informs
+ * all routers and stores what must survive a restart of all of them. The
+ * returned function tells whether this router knows which requests are
+ * quarantined: otherwise each starting router would crash servers with the same
+ * request again.
  *
  * @example
  * ```ts
- * const isInformed = shareSuspects(cfg);
+ * const isQuarantineKnown = shareSuspects(cfg);
  * ```
  */
-export function shareSuspects(cfg: ShareConfig): () => boolean {
+export function shareSuspects(cfg: ShareSuspectsConfig): () => boolean {
   const {clock, suspects, leadership, link, platform} = cfg;
-  /** The rows in the record, by content. */
+  /** The stored rows, by content digest. */
   const recorded = new Map<string, Suspect>();
-  let isRead = false;
-  let ledEpoch: number | null = null;
-  let isWriting = false;
+  let isLoaded = false;
+  let currentEpoch: number | null = null;
+  let isSaving = false;
 
-  const read = async (): Promise<boolean> => {
+  const loadRecords = async (): Promise<boolean> => {
     const rows = await platform.suspects.load();
     if (rows === null) return false;
-    isRead = true;
-    // A store that was restored from a copy may lack what it had.
+    isLoaded = true;
+    // A store that was restored from a snapshot may lack rows that it had.
     recorded.clear();
     for (const row of rows) recorded.set(row.content, row);
     suspects.merge(rows);
     return true;
   };
 
-  /** What the record lacks; each clearing of what it has, too. */
-  const unwritten = (): readonly Suspect[] =>
+  /**
+   * Quarantined rows that aren't stored, and stored rows that were cleared or
+   * quarantined since.
+   */
+  const unsavedRows = (): readonly Suspect[] =>
     suspects.rows().filter(row => {
       const known = recorded.get(row.content);
       if (known === undefined) return row.isQuarantined;
@@ -67,61 +77,64 @@
       );
     });
 
-  /** Writes what is unwritten, in whichever term this router leads. */
-  const write = async (): Promise<void> => {
-    if (isWriting) return;
-    isWriting = true;
+  /** Saves all unsaved rows, in whichever term this router leads. */
+  const saveRows = async (): Promise<void> => {
+    if (isSaving) return;
+    isSaving = true;
     for (;;) {
       const epoch = leadership.epoch();
-      const [next] = unwritten();
+      const [next] = unsavedRows();
       if (epoch === null || next === undefined) break;
-      const end = await platform.suspects.save(epoch, next);
-      if (end === 'saved') recorded.set(next.content, next);
-      if (end === 'fenced') leadership.check();
-      if (end !== 'saved') await sleep(clock, RETRY_MS);
+      const result = await platform.suspects.save(epoch, next);
+      if (result === 'saved') recorded.set(next.content, next);
+      if (result === 'fenced') leadership.checkTerm();
+      if (result !== 'saved') await sleep(clock, RETRY_MS);
     }
-    isWriting = false;
+    isSaving = false;
   };
 
-  const dropOld = async (epoch: number): Promise<void> => {
-    const before = cfg.unixNow() - KEEP_MS;
+  const dropExpired = async (epoch: number): Promise<void> => {
+    const cutoff = cfg.unixNow() - CLEARED_RETENTION_MS;
     for (const {content, isQuarantined, cleared} of [...recorded.values()]) {
-      if (isQuarantined || (cleared?.at ?? 0) > before) continue;
+      if (isQuarantined || (cleared?.at ?? 0) > cutoff) continue;
       if (leadership.epoch() !== epoch) return;
-      const end = await platform.suspects.drop(epoch, content);
-      if (end === 'saved') recorded.delete(content);
+      const result = await platform.suspects.drop(epoch, content);
+      if (result === 'saved') recorded.delete(content);
     }
   };
 
-  const lead = async (epoch: number): Promise<void> => {
-    suspects.judge();
-    while (leadership.epoch() === epoch && !(await read())) {
+  const startTerm = async (epoch: number): Promise<void> => {
+    suspects.applyQuarantineRules();
+    while (leadership.epoch() === epoch && !(await loadRecords())) {
       await sleep(clock, RETRY_MS);
     }
-    await write();
-    await dropOld(epoch);
+    await saveRows();
+    await dropExpired(epoch);
   };
 
   suspects.subscribe((rows, isOwn) => {
     if (!leadership.isLeading()) {
-      if (isOwn) link.tellSuspects(rows);
+      if (isOwn) link.reportSuspects(rows);
       return;
     }
-    suspects.judge();
-    // Before it was read, a clearing would not be known as one of a record.
-    if (isRead) void write();
+    suspects.applyQuarantineRules();
+    // Before the records are loaded, a cleared row isn't known to be stored.
+    if (isLoaded) void saveRows();
   });
   leadership.subscribe(() => {
     const epoch = leadership.epoch();
-    if (epoch === ledEpoch) return;
-    ledEpoch = epoch;
-    if (epoch !== null) void lead(epoch);
+    if (epoch === currentEpoch) return;
+    currentEpoch = epoch;
+    if (epoch !== null) void startTerm(epoch);
   });
   const startedAt = clock.now();
-  const isUnread = (): boolean => !isRead && !link.isTold();
-  const goesOn = (): boolean => cfg.goesOn() && isUnread();
-  repeat({...cfg, name: 'suspects', ms: REREAD_MS, goesOn}, async () => {
-    await read();
-  });
-  return () => !isUnread() || clock.now() - startedAt > UNKNOWN_MS;
+  const isUninformed = (): boolean => !isLoaded && !link.isSynced();
+  const goesOn = (): boolean => cfg.goesOn() && isUninformed();
+  repeat(
+    {...cfg, name: 'suspects', pauseMs: LOAD_RETRY_MS, goesOn},
+    async () => {
+      await loadRecords();
+    },
+  );
+  return () => !isUninformed() || clock.now() - startedAt > MAX_STARTUP_WAIT_MS;
 }
--- a/packages/gateway/src/succession.ts
+++ b/packages/gateway/src/succession.ts
@@ -1,111 +1,126 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
-import {hasMoreRoom, type Candidate, type Room} from './room.js';
+import {
+  hasClearlyMoreCapacity,
+  type Candidate,
+  type HostCapacity,
+} from './host-capacity.js';
 
-/** What a router that the platform chose knows of whoever leads now. */
-export interface SuccessionConfig {
+/** What the leader election needs to know of this router and the leader. */
+export interface LeaderElectionConfig {
   readonly emit: Emit;
-  /** This router's own address for the others, `ip:port`. */
+  /** The address at which other routers reach this one, `ip:port`. */
   readonly self: string;
-  /** Whether the platform chose this router, as it said a moment ago. */
+  /** Whether the platform's last recent answer chose this router to lead. */
   isChosen(): boolean;
   isLeading(): boolean;
-  /** Since a restore of the store was noticed here, in ms. */
-  restoredMs(): number;
-  /** Since when the leader that is heard had no answer of the platform, ms. */
-  heardLeaderTouchMs(): number | null;
-  lastLeader(): Promise<LeaderRead>;
-  /** Follows whoever leads at the address; false where nobody does. */
-  reach(address: string): Promise<boolean>;
-  /** Who should lead, as the last leader told, the best first. */
+  /** Time since this router noticed a restore of the store, in ms. */
+  sinceRestoreMs(): number;
+  /**
+   * Time since the followed leader last reached the platform, in ms; null while
+   * no leader is followed.
+   */
+  leaderContactAgeMs(): number | null;
+  readLastLeader(): Promise<LeaderRead>;
+  /** Follows the leader at the address; false if no router leads there. */
+  followAt(address: string): Promise<boolean>;
+  /** Routers that the last leader designated to lead next, the best first. */
   deputies(): readonly Candidate[];
-  readonly room: Room;
-  /** Asks the router at the address to lead; whether it does. */
-  offer(address: string): Promise<boolean>;
-  /** Begins a term; whether this router leads then. */
-  begin(): Promise<boolean>;
+  readonly room: HostCapacity;
+  /** Asks the router at the address to lead; returns whether it does. */
+  offerLeadership(address: string): Promise<boolean>;
+  /** Starts a term; returns whether this router leads afterwards. */
+  startTerm(): Promise<boolean>;
 }
 
 /** Decides whether this router becomes the leader. */
-export interface Succession {
-  /** Something may have changed: chosen, or the leader is heard no more. */
-  consider(): Promise<void>;
+export interface LeaderElection {
+  /** Runs an election if this router is chosen and no leader works. */
+  runIfNeeded(): Promise<void>;
   /**
-   * One that hears no leader asks this router to lead: whether anybody does
-   * then. A leader that works is kept, though the other one can't reach it.
+   * Handles the request of a router that follows no leader to lead; returns
+   * whether any router leads afterwards. A working leader is kept even if the
+   * requesting router can't reach it.
    */
-  answer(): Promise<boolean>;
+  handleOffer(): Promise<boolean>;
 }
 
 /**
- * A leader that the platform hasn't answered for so long has lost it, in ms:
- * it can't record moves. Some joins without an answer in a row.
+ * A leader without an answer from the platform for this long counts as cut off
+ * from it, in ms, since it can't record moves. Several consecutive joins fail
+ * within this time.
  */
-const OUT_OF_TOUCH_MS = 2_000;
+const LOST_CONTACT_MS = 2_000;
 /**
- * After a restore of the store a leader that is heard has this time to come back
- * into touch with it, in ms: it alone knows who holds which keys.
+ * Time that a reachable leader has after a restore of the store to reconnect to
+ * it, in ms: only that leader knows which server owns which keys.
  */
-const RESTORED_MS = 2_000;
+const RESTORE_GRACE_MS = 2_000;
 
 /**
- * The platform chooses anew whenever routers come or go. A leader that works is
- * kept all the same: each change of leader costs half a second without places
- * and a grant of all keys. Whoever is chosen begins only where it hears no
- * leader that is in touch, and none answers at the last one's address; and it
- * asks those with clearly more room first. One of 0.27 cores that began itself
- * was late for everything it did, and sent on what its callers had given up.
+ * Creates the election logic. The platform chooses a router again whenever
+ * routers join or leave, but a working leader is kept: each change of leader
+ * costs half a second without slots and a new grant of all keys. The chosen
+ * router starts a term only if it follows no leader that reaches the platform
+ * and none answers at the last leader's address. It first asks deputies with
+ * clearly more capacity: a leader with 0.27 cores was late with all its work
+ * and forwarded requests that their callers had already abandoned.
  *
  * @example
  * ```ts
- * const succession = createSuccession(cfg);
- * await succession.consider();
+ * const election = createLeaderElection(cfg);
+ * await election.runIfNeeded();
  * ```
  */
-export function createSuccession(cfg: SuccessionConfig): Succession {
-  let isBusy = false;
+export function createLeaderElection(
+  cfg: LeaderElectionConfig,
+): LeaderElection {
+  let isRunning = false;
 
-  const hearsWorking = (): boolean => {
-    const touchMs = cfg.heardLeaderTouchMs();
-    if (touchMs === null) return false;
-    return touchMs <= OUT_OF_TOUCH_MS || cfg.restoredMs() < RESTORED_MS;
+  const hasWorkingLeader = (): boolean => {
+    const ageMs = cfg.leaderContactAgeMs();
+    if (ageMs === null) return false;
+    return ageMs <= LOST_CONTACT_MS || cfg.sinceRestoreMs() < RESTORE_GRACE_MS;
   };
 
   const isNeeded = (): boolean =>
-    cfg.isChosen() && !cfg.isLeading() && !hearsWorking();
+    cfg.isChosen() && !cfg.isLeading() && !hasWorkingLeader();
 
   const findLeader = async (): Promise<'found' | 'none' | 'unknown'> => {
-    if (cfg.heardLeaderTouchMs() !== null) return 'none';
-    const last = await cfg.lastLeader();
+    // A leader that is followed but doesn't work is replaced.
+    if (cfg.leaderContactAgeMs() !== null) return 'none';
+    const last = await cfg.readLastLeader();
     if (last.kind === 'failed') return 'unknown';
     if (last.address === null || last.address === cfg.self) return 'none';
-    return (await cfg.reach(last.address)) ? 'found' : 'none';
+    return (await cfg.followAt(last.address)) ? 'found' : 'none';
   };
 
-  const succeed = async (): Promise<void> => {
+  const elect = async (): Promise<void> => {
     if ((await findLeader()) !== 'none' || !isNeeded()) return;
-    cfg.emit('succession', {heardTouchMs: cfg.heardLeaderTouchMs()});
+    cfg.emit('succession', {heardTouchMs: cfg.leaderContactAgeMs()});
     for (const {address, room} of cfg.deputies()) {
-      if (address === cfg.self || !hasMoreRoom(room, cfg.room)) continue;
-      const leads = await cfg.offer(address);
-      cfg.emit('leading-offered', {to: address, leads});
-      if (leads) return void (await cfg.reach(address));
+      if (address === cfg.self || !hasClearlyMoreCapacity(room, cfg.room))
+        continue;
+      const isLeader = await cfg.offerLeadership(address);
+      cfg.emit('leading-offered', {to: address, leads: isLeader});
+      if (isLeader) return void (await cfg.followAt(address));
     }
-    if (isNeeded()) await cfg.begin();
+    if (isNeeded()) await cfg.startTerm();
   };
 
   return {
-    async consider() {
-      if (isBusy || !isNeeded()) return;
-      isBusy = true;
-      // Left busy by a defect, it would never lead again.
-      await succeed().finally(() => {
-        isBusy = false;
+    async runIfNeeded() {
+      if (isRunning || !isNeeded()) return;
+      isRunning = true;
+      // Reset even after an error; otherwise this router could never lead
+      // again.
+      await elect().finally(() => {
+        isRunning = false;
       });
     },
-    async answer() {
-      if (cfg.isLeading() || hearsWorking()) return true;
-      return cfg.begin();
+    async handleOffer() {
+      if (cfg.isLeading() || hasWorkingLeader()) return true;
+      return cfg.startTerm();
     },
   };
 }
--- a/packages/gateway/test/restorable-store.ts
+++ b/packages/gateway/test/restorable-store.ts
@@ -1,77 +1,84 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {StoreHistory} from '@banyandrum/gateway/platform.js';
 import {storeEpochOfTerm, toTermEpoch} from '@banyandrum/ranges/fence.js';
-import type {Ledger, SaveEnd} from '@banyandrum/ranges/ledger.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/ledger.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
 
-/** What the store keeps of leaders. */
-interface Records {
+/** The records of terms and tables in the store. */
+interface StoreRecords {
   readonly terms: number;
   readonly owner: number;
   readonly tables: ReadonlyMap<string, RangeTable>;
 }
 
-/** A router's way to the store. */
+/** A router's connection to the store. */
 export interface StoreAccess {
-  readonly ledger: Ledger;
+  readonly ledger: TableStore;
   readonly history: StoreHistory;
-  /** Whether calls get no answer. */
-  isCut: boolean;
+  /** Whether calls time out. */
+  isUnreachable: boolean;
 }
 
-/** A store in memory that comes back from copies. */
+/** An in-memory store that can be restored from a snapshot. */
 export interface RestorableStore {
-  copy(): Records;
-  restore(copy: Records): void;
+  takeSnapshot(): StoreRecords;
+  restore(snapshot: StoreRecords): void;
   open(): StoreAccess;
 }
 
-/** A call without an answer is given up after this time, in ms. */
-const LOST_MS = 800;
-const ANSWER_MAX_MS = 8;
+/** Timeout of a call, in ms. */
+const CALL_TIMEOUT_MS = 800;
+/** Longest delay of a call's request and of its response, in ms. */
+const MAX_DELAY_MS = 8;
 
-/** Makes a store whose calls take some ms. */
+/** Creates a store whose calls take some milliseconds. */
 export function createRestorableStore(
   clock: Clock,
   random: () => number,
 ): RestorableStore {
-  let records: Records = {terms: 0, owner: 0, tables: new Map()};
+  let records: StoreRecords = {terms: 0, owner: 0, tables: new Map()};
   let storeEpoch = 1;
 
   const open = (): StoreAccess => {
     const listeners = new Set<(epoch: number, before: number | null) => void>();
-    let known: number | null = null;
+    let knownEpoch: number | null = null;
     let seenAt = -Infinity;
-    let own = 0;
+    let ownTerm = 0;
 
-    const note = (epoch: number): boolean => {
-      if (known !== null && epoch <= known) return epoch === known;
-      const before = known;
-      known = epoch;
+    const noteEpoch = (epoch: number): boolean => {
+      if (knownEpoch !== null && epoch <= knownEpoch)
+        return epoch === knownEpoch;
+      const before = knownEpoch;
+      knownEpoch = epoch;
       seenAt = clock.now();
       listeners.forEach(listener => listener(epoch, before));
       return true;
     };
 
-    /** Done at once or half way; the answer has the epoch of that moment. */
+    /**
+     * Runs `work` after the request delay unless the store is unreachable; the
+     * response carries the store epoch of that time.
+     */
     const call = <T>(work: () => T): Promise<T | null> =>
       new Promise(resolve => {
-        const lose = (): void => void clock.after(LOST_MS, () => resolve(null));
-        clock.after(random() * ANSWER_MAX_MS, () => {
-          if (access.isCut) return lose();
+        const timeOut = (): void =>
+          void clock.after(CALL_TIMEOUT_MS, () => resolve(null));
+        clock.after(random() * MAX_DELAY_MS, () => {
+          if (access.isUnreachable) return timeOut();
           const result = work();
           const epoch = storeEpoch;
-          clock.after(random() * ANSWER_MAX_MS, () => {
-            if (access.isCut) return lose();
-            resolve(note(epoch) ? result : null);
+          clock.after(random() * MAX_DELAY_MS, () => {
+            if (access.isUnreachable) return timeOut();
+            resolve(noteEpoch(epoch) ? result : null);
           });
         });
       });
 
-    const isOwnHistory = (): boolean => storeEpochOfTerm(own) === storeEpoch;
+    const isOwnHistory = (): boolean =>
+      storeEpochOfTerm(ownTerm) === storeEpoch;
 
-    const save = (table: RangeTable): SaveEnd => {
-      if (records.owner > own && isOwnHistory()) return 'fenced';
+    const save = (table: RangeTable): SaveResult => {
+      if (records.owner > ownTerm && isOwnHistory()) return 'fenced';
       if (!isOwnHistory()) return 'failed';
       const tables = new Map(records.tables).set(table.service, table);
       records = {...records, tables};
@@ -79,26 +86,27 @@
     };
 
     const access: StoreAccess = {
-      isCut: false,
+      isUnreachable: false,
       history: {
-        epoch: () => known ?? 0,
-        seenAt: () => seenAt,
+        epoch: () => knownEpoch ?? 0,
+        epochSeenAt: () => seenAt,
         subscribe: listener => void listeners.add(listener),
       },
       ledger: {
-        async begin() {
+        async beginTerm() {
           const epoch = await call(() => {
             const terms = records.terms + 1;
             const owner = toTermEpoch(storeEpoch, terms);
             records = {...records, terms, owner};
             return owner;
           });
-          own = epoch ?? own;
+          ownTerm = epoch ?? ownTerm;
           return epoch;
         },
-        isNewest: () =>
-          call(() => isOwnHistory() && records.owner === own).then(answer =>
-            known === storeEpochOfTerm(own) ? answer : null,
+        isNewestTerm: () =>
+          call(() => isOwnHistory() && records.owner === ownTerm).then(
+            answer =>
+              knownEpoch === storeEpochOfTerm(ownTerm) ? answer : null,
           ),
         lastLeader: async () => ({kind: 'failed'}),
         load: () => call(() => [...records.tables.values()]),
@@ -110,9 +118,9 @@
 
   return {
     open,
-    copy: () => records,
-    restore(copy) {
-      records = copy;
+    takeSnapshot: () => records,
+    restore(snapshot) {
+      records = snapshot;
       storeEpoch++;
     },
   };
--- a/packages/placement/src/hot-keys.ts
+++ b/packages/placement/src/hot-keys.ts
@@ -1,51 +1,51 @@
-/** A key that is asked for often. */
+/** A frequently requested key. */
 export interface CountedKey {
   readonly key: string;
-  /** Weight over the last while, at most `error` too high. */
+  /** Decayed weight; overestimated by `error` at most. */
   readonly weight: number;
   readonly error: number;
-  /** Times that it was surely counted over the last while. */
+  /** Decayed count since the key entered the sketch; a lower bound. */
   readonly count: number;
 }
 
-/** Finds the keys that are asked for most, in bounded memory. */
+/** Finds the most frequent keys, in bounded memory. */
 export interface HotKeySketch {
-  /** Counts a key, at a monotonic time in ms that never goes back. */
+  /** Counts a key; `now` is a monotonic time in ms. */
   add(key: string, now: number, weight?: number): void;
-  /** The heaviest keys, the heaviest first. */
+  /** The keys with the highest weights, in descending order. */
   top(count: number, now: number): readonly CountedKey[];
-  /** Weight of all keys over the last while. */
+  /** Decayed weight of all keys. */
   total(now: number): number;
   size(): number;
 }
 
 export interface HotKeyOptions {
-  /** Keys remembered at most. */
+  /** Maximum number of keys tracked. */
   readonly capacity: number;
-  /** After this time a count is worth half. */
+  /** Time after which a count has decayed to half. */
   readonly halfLifeMs: number;
 }
 
 interface Counter {
   key: string;
-  /** In units that grow with time, so that old counts fade by themselves. */
+  /** In units that grow with time, so that old weights decay relatively. */
   weight: number;
   error: number;
   count: number;
-  /** Its place in the heap. */
-  place: number;
+  heapIndex: number;
 }
 
-/** Units are brought back to size before they lose precision. */
-const LARGEST_UNIT = 2 ** 40;
+/** Weights are rescaled at this unit, before they lose precision. */
+const MAX_UNIT = 2 ** 40;
 
 /**
- * Makes a space-saving sketch with fading counts. A key that is new to a full
- * sketch takes the place, and the count, of the lightest one: a key whose
- * share of all weight is above 1 / capacity is always in it.
+ * Creates a Space-Saving sketch with exponential decay. If the sketch is full,
+ * a new key replaces the key with the lowest weight and inherits that weight. A
+ * key with a share of more than 1 / capacity of the total weight is always in
+ * the sketch.
  *
- * Counts fade by letting the unit of new counts grow, so that a count costs
- * one step through a heap and nothing is swept over.
+ * To decay, the unit of new weights grows instead of old weights being reduced.
+ * Adding a key costs one heap update, without a sweep over all counters.
  *
  * @example
  * ```ts
@@ -57,14 +57,14 @@
 export function createHotKeySketch(options: HotKeyOptions): HotKeySketch {
   const {capacity, halfLifeMs} = options;
   const counters = new Map<string, Counter>();
-  /** A heap with the lightest counter first. */
+  /** A min-heap by weight. */
   const heap: Counter[] = [];
   let origin = 0;
   let total = 0;
 
   const unitAt = (now: number): number => {
     const unit = 2 ** ((now - origin) / halfLifeMs);
-    if (unit <= LARGEST_UNIT) return unit;
+    if (unit <= MAX_UNIT) return unit;
     for (const counter of heap) {
       counter.weight /= unit;
       counter.error /= unit;
@@ -75,10 +75,10 @@
     return 1;
   };
 
-  const sink = (counter: Counter): void => {
+  const siftDown = (counter: Counter): void => {
     for (;;) {
-      const left = heap[2 * counter.place + 1];
-      const right = heap[2 * counter.place + 2];
+      const left = heap[2 * counter.heapIndex + 1];
+      const right = heap[2 * counter.heapIndex + 2];
       const lighter =
         right !== undefined && left !== undefined && right.weight < left.weight
           ? right
@@ -88,19 +88,19 @@
     }
   };
 
-  const rise = (counter: Counter): void => {
-    while (counter.place > 0) {
-      const parent = heap[(counter.place - 1) >> 1];
+  const siftUp = (counter: Counter): void => {
+    while (counter.heapIndex > 0) {
+      const parent = heap[(counter.heapIndex - 1) >> 1];
       if (parent === undefined || parent.weight <= counter.weight) return;
       swap(heap, counter, parent);
     }
   };
 
   const insert = (key: string, weight: number, count: number): void => {
-    const counter = {key, weight, error: 0, count, place: heap.length};
+    const counter = {key, weight, error: 0, count, heapIndex: heap.length};
     counters.set(key, counter);
     heap.push(counter);
-    rise(counter);
+    siftUp(counter);
   };
 
   const replaceLightest = (
@@ -116,7 +116,7 @@
     lightest.error = lightest.weight;
     lightest.weight += weight;
     lightest.count = count;
-    sink(lightest);
+    siftDown(lightest);
   };
 
   return {
@@ -128,7 +128,7 @@
       if (counter !== undefined) {
         counter.weight += scaled;
         counter.count += unit;
-        sink(counter);
+        siftDown(counter);
       } else if (heap.length < capacity) {
         insert(key, scaled, unit);
       } else {
@@ -153,9 +153,9 @@
 }
 
 function swap(heap: Counter[], a: Counter, b: Counter): void {
-  const place = a.place;
-  a.place = b.place;
-  b.place = place;
-  heap[a.place] = a;
-  heap[b.place] = b;
+  const index = a.heapIndex;
+  a.heapIndex = b.heapIndex;
+  b.heapIndex = index;
+  heap[a.heapIndex] = a;
+  heap[b.heapIndex] = b;
 }
--- a/packages/placement/src/plan-moves.ts
+++ b/packages/placement/src/plan-moves.ts
@@ -1,13 +1,13 @@
 import {balance} from './balance.js';
-import type {MayMove} from './calm.js';
-import {createCarriers} from './carriers.js';
-import {placeOrphans} from './place-orphans.js';
+import type {MoveFilter} from './calm.js';
+import {createServerLoads} from './carriers.js';
+import {placeUnassigned} from './place-orphans.js';
 import type {Move, PlanInput} from './plan.js';
 
 /**
- * Plans which shards should go where: first those that have to move, then
- * those whose move is worth more than it costs, between servers that
- * `mayMove` allows. The same input yields the same plan.
+ * Plans moves of shards: first the forced moves, then moves for balance that
+ * gain more than they cost, between servers for which `isAllowed` is true. The
+ * plan is deterministic and independent of the order of the input.
  *
  * @example
  * ```ts
@@ -16,19 +16,19 @@
  */
 export function planMoves(
   input: PlanInput,
-  mayMove?: MayMove,
+  isAllowed?: MoveFilter,
 ): readonly Move[] {
   const sorted = sortInput(input);
-  const carriers = createCarriers(sorted);
-  const forced = placeOrphans(sorted.shards, carriers);
+  const servers = createServerLoads(sorted);
+  const forced = placeUnassigned(sorted.shards, servers);
   const placed = new Set(forced.map(({shard}) => shard));
   const shards = sorted.shards.filter(({shard}) => !placed.has(shard));
-  return [...forced, ...balance({...sorted, shards}, carriers, mayMove)];
+  return [...forced, ...balance({...sorted, shards}, servers, isAllowed)];
 }
 
 /**
- * Plans only what has to move: shards that nobody owns, and those of servers
- * that may be given nothing any more.
+ * Plans only the forced moves: of shards without an owner, and of shards whose
+ * server must not have shards any more.
  *
  * @example
  * ```ts
@@ -36,10 +36,10 @@
  * ```
  */
 export function planForcedMoves(input: PlanInput): readonly Move[] {
-  return placeOrphans(input.shards, createCarriers(input));
+  return placeUnassigned(input.shards, createServerLoads(input));
 }
 
-/** Ties are decided by order, which must not depend on the caller's. */
+/** Sorts the input: ties are broken by order, which must be deterministic. */
 function sortInput(input: PlanInput): PlanInput {
   return {
     ...input,
--- a/packages/ranges/src/balancing.ts
+++ b/packages/ranges/src/balancing.ts
@@ -1,118 +1,130 @@
-import {grantNow} from './granting.js';
-import {holdingsOf, record, type Lead, type LedServer} from './lead-state.js';
+import {grantLease} from './granting.js';
+import {
+  leasesOf,
+  saveAssignments,
+  type LeaderState,
+  type ListedServer,
+} from './lead-state.js';
 import type {KeyRate} from './key-load.js';
 import {
-  createMerged,
-  createPart,
+  createMergedLease,
+  createPartialLease,
   isSettled,
-  type LiveHolding,
+  type RangeLease,
 } from './live-holding.js';
-import {move} from './moving.js';
+import {moveRange} from './moving.js';
 import {planMoves} from './planner.js';
 import type {KeyRange} from './table.js';
 
-/** A server's holdings are cut no further than this: each costs renewals. */
-const MAX_HOLDINGS = 8;
+/** A server with this many ranges gets none split: each costs renewals. */
+const MAX_RANGES_PER_SERVER = 8;
 
 /**
- * Starts up to `most` moves for the sake of load; whether some server is given
- * more than it can do.
+ * Starts up to `maxMoves` moves that balance load. Returns whether one of them
+ * relieves an overloaded server.
  */
-export function balance(
-  lead: Lead,
-  servers: readonly LedServer[],
+export function startBalancingMoves(
+  leader: LeaderState,
+  servers: readonly ListedServer[],
   rates: readonly KeyRate[],
-  most: number,
+  maxMoves: number,
 ): boolean {
-  const now = lead.clock.now();
-  // A server that gives or takes keys already is left alone until it did.
-  const busy = new Set(
-    lead.lives
+  const now = leader.clock.now();
+  // A server takes part in one move at a time.
+  const movingServers = new Set(
+    leader.leases
       .filter(({phase}) => phase !== 'held')
-      .map(({holding}) => holding.server),
+      .map(({assignment}) => assignment.server),
+  );
+  const available = servers.filter(
+    ({id}) => !movingServers.has(id) && !leader.moveTargets.has(id),
   );
-  const free = servers.filter(({id}) => !busy.has(id) && !lead.targets.has(id));
-  const settled = lead.lives.filter(live => isSettled(live, now));
-  const holdings = settled.map(({holding}) => holding);
-  const plan = planMoves({holdings, servers: free, rates}, most);
+  const settled = leader.leases.filter(lease => isSettled(lease, now));
+  const assignments = settled.map(({assignment}) => assignment);
+  const plan = planMoves({assignments, servers: available, rates}, maxMoves);
   for (const {range, to} of plan.moves) {
-    const live = settled.find(
-      ({holding}) => holding.from <= range.from && range.to <= holding.to,
+    const lease = settled.find(
+      ({assignment}) =>
+        assignment.from <= range.from && range.to <= assignment.to,
     )!;
-    lead.targets.add(to);
-    lead.moves++;
-    void moveSegment(lead, live, range, to).finally(() => {
-      lead.targets.delete(to);
-      lead.moves--;
+    leader.moveTargets.add(to);
+    leader.activeMoves++;
+    void moveSegment(leader, lease, range, to).finally(() => {
+      leader.moveTargets.delete(to);
+      leader.activeMoves--;
     });
   }
   return plan.isUrgent;
 }
 
-/** Joins two neighbours of one server; each holding costs renewals. */
-export function mergeOne(lead: Lead, now: number): boolean {
-  const isStill = (live: LiveHolding): boolean =>
-    isSettled(live, now) && live.order === null;
-  for (let at = 0; at + 1 < lead.lives.length; at++) {
-    const left = lead.lives[at]!;
-    const right = lead.lives[at + 1]!;
-    if (left.holding.server !== right.holding.server) continue;
-    if (!isStill(left) || !isStill(right)) continue;
-    const merged = createMerged(left, right, lead.nextFence(), now);
-    replace(lead, [left, right], [merged]);
-    void record(lead, [merged]);
+/**
+ * Merges one pair of adjacent ranges of the same server, since each range costs
+ * renewals. Returns whether there was one.
+ */
+export function mergeNeighbours(leader: LeaderState, now: number): boolean {
+  const isIdle = (lease: RangeLease): boolean =>
+    isSettled(lease, now) && lease.pendingCall === null;
+  for (let at = 0; at + 1 < leader.leases.length; at++) {
+    const left = leader.leases[at]!;
+    const right = leader.leases[at + 1]!;
+    if (left.assignment.server !== right.assignment.server) continue;
+    if (!isIdle(left) || !isIdle(right)) continue;
+    const merged = createMergedLease(left, right, leader.nextFence(), now);
+    replaceLeases(leader, [left, right], [merged]);
+    void saveAssignments(leader, [merged]);
     return true;
   }
   return false;
 }
 
 async function moveSegment(
-  lead: Lead,
-  live: LiveHolding,
+  leader: LeaderState,
+  lease: RangeLease,
   range: KeyRange,
   to: string,
 ): Promise<void> {
-  const {holding} = live;
-  if (range.from === holding.from && range.to === holding.to) {
-    return move(lead, live, 'load', to);
+  const {assignment} = lease;
+  if (range.from === assignment.from && range.to === assignment.to) {
+    return moveRange(leader, lease, 'load', to);
   }
-  if (holdingsOf(lead, holding.server!).length >= MAX_HOLDINGS) return;
-  const part = await cut(lead, live, range);
-  if (part !== null) await move(lead, part, 'load', to);
+  if (leasesOf(leader, assignment.server!).length >= MAX_RANGES_PER_SERVER)
+    return;
+  const part = await splitLease(leader, lease, range);
+  if (part !== null) await moveRange(leader, part, 'load', to);
 }
 
-/** Cuts a holding, so that one part can go; yields that part. */
-async function cut(
-  lead: Lead,
-  live: LiveHolding,
+/** Splits a range so that one part can move; resolves with that part. */
+async function splitLease(
+  leader: LeaderState,
+  lease: RangeLease,
   range: KeyRange,
-): Promise<LiveHolding | null> {
-  live.phase = 'waiting';
-  await live.order;
-  const {from, to} = live.holding;
+): Promise<RangeLease | null> {
+  lease.phase = 'waiting';
+  await lease.pendingCall;
+  const {from, to} = lease.assignment;
   const ranges = [
     {from, to: range.from - 1},
     range,
     {from: range.to + 1, to},
   ].filter(each => each.from <= each.to);
-  const now = lead.clock.now();
+  const now = leader.clock.now();
   const parts = ranges.map(each =>
-    createPart(live, each, lead.nextFence(), now),
+    createPartialLease(lease, each, leader.nextFence(), now),
   );
-  replace(lead, [live], parts);
-  if (!(await record(lead, parts))) return null;
-  const part = parts.find(({holding}) => holding.from === range.from)!;
-  // The server must know the part by its own fence before it gives it back.
-  await Promise.all(parts.map(each => grantNow(lead, each)));
+  replaceLeases(leader, [lease], parts);
+  if (!(await saveAssignments(leader, parts))) return null;
+  const part = parts.find(({assignment}) => assignment.from === range.from)!;
+  // The server must have seen the part's own fence before its release.
+  await Promise.all(parts.map(each => grantLease(leader, each)));
   return part.phase === 'held' ? part : null;
 }
 
-function replace(
-  lead: Lead,
-  old: readonly LiveHolding[],
-  fresh: readonly LiveHolding[],
+function replaceLeases(
+  leader: LeaderState,
+  previous: readonly RangeLease[],
+  replacements: readonly RangeLease[],
 ): void {
-  const at = lead.lives.indexOf(old[0]!);
-  lead.lives.splice(at, old.length, ...fresh);
-  lead.onChange();
+  const at = leader.leases.indexOf(previous[0]!);
+  leader.leases.splice(at, previous.length, ...replacements);
+  leader.onChange();
 }
--- a/packages/ranges/src/live-holding.ts
+++ b/packages/ranges/src/live-holding.ts
@@ -1,99 +1,122 @@
-import type {Holding, KeyRange} from './table.js';
+import type {RangeAssignment, KeyRange} from './table.js';
 
-/** What a leader knows of a holding's server. */
-export type Standing =
-  /** Recorded in the store's present history. */
+/** How the leader knows which server a range is assigned to. */
+export type AssignmentSource =
+  /** Stored in the current store epoch. */
   | 'recorded'
   /**
-   * Known from this router's term before the store was restored, under the
-   * fence of that term.
+   * Known from this router's own term before the store was restored; the fence
+   * is of that term.
    */
   | 'remembered'
-  /** The record may be outdated: another server may hold the range. */
+  /** The stored assignment may be outdated: another server may hold a lease. */
   | 'unknown';
 
-/** A holding as its leader keeps it. */
-export interface LiveHolding {
-  holding: Holding;
-  standing: Standing;
-  /** `waiting`: for its record; `moving`: to another server. */
+/** An assignment with the state of its lease, as the leader tracks it. */
+export interface RangeLease {
+  assignment: RangeAssignment;
+  source: AssignmentSource;
+  /**
+   * `waiting` until the assignment is stored, `held` once leases may be
+   * granted, `moving` while the range is moved to another server.
+   */
   phase: 'waiting' | 'held' | 'moving';
-  /** Whether requests may go to the server. */
+  /** Whether requests may be sent to the server. */
   isServed: boolean;
-  /** A grant is under way; orders on one holding must not overtake another. */
-  order: Promise<void> | null;
-  /** Monotonic time of the next grant, in ms. */
+  /**
+   * The call in progress for this range, or null. Calls are made one at a time,
+   * so that none overtakes another.
+   */
+  pendingCall: Promise<void> | null;
+  /** Monotonic time of the next grant or renewal, in ms. */
   renewAt: number;
-  /** By this monotonic time the server's hold has surely ended, in ms. */
-  lapseAt: number;
-  /** Until then a grant without an answer may still be carried out, in ms. */
-  unprovedUntil: number;
   /**
-   * Until then an earlier leader's grant may still be carried out, in ms; 0
-   * once the server has seen a fence of this leader's for the range.
+   * Monotonic time by which the server's lease has certainly expired, in ms.
    */
-  foreignUntil: number;
+  expiresAt: number;
   /**
-   * A remembered holding must be confirmed by then, in wakeful ms: this router's
-   * authority in its term before the restore ends.
+   * Monotonic time until which a lease from an unanswered grant of this leader
+   * may exist, in ms.
    */
-  confirmBy: number;
+  lateGrantUntil: number;
+  /**
+   * Monotonic time until which a lease granted by an earlier leader may exist,
+   * in ms; 0 once the server has seen this leader's fence for the range.
+   */
+  earlierLeaderGrantUntil: number;
+  /**
+   * When this router's authority from its term before the restore ends, in ms
+   * on the suspend-aware clock. A `remembered` assignment must be confirmed by
+   * then.
+   */
+  confirmDeadline: number;
 }
 
-/** A holding that nobody has granted yet. */
-export function createLive(holding: Holding, now: number): LiveHolding {
+/** Creates the state of a new assignment, before its first grant. */
+export function createRangeLease(
+  assignment: RangeAssignment,
+  now: number,
+): RangeLease {
   return {
-    holding,
-    standing: 'recorded',
+    assignment,
+    source: 'recorded',
     phase: 'waiting',
     isServed: false,
-    order: null,
+    pendingCall: null,
     renewAt: now,
-    lapseAt: now,
-    unprovedUntil: 0,
-    foreignUntil: 0,
-    confirmBy: Infinity,
+    expiresAt: now,
+    lateGrantUntil: 0,
+    earlierLeaderGrantUntil: 0,
+    confirmDeadline: Infinity,
   };
 }
 
-/** Whether the server surely holds it, and nothing is under way that moves it. */
-export function isSettled(live: LiveHolding, now: number): boolean {
-  const {phase, standing, isServed, unprovedUntil} = live;
-  if (phase !== 'held' || standing !== 'recorded') return false;
-  return isServed && unprovedUntil <= now;
+/** Whether the server certainly holds the lease and the range isn't moving. */
+export function isSettled(lease: RangeLease, now: number): boolean {
+  const {phase, source, isServed, lateGrantUntil} = lease;
+  if (phase !== 'held' || source !== 'recorded') return false;
+  return isServed && lateGrantUntil <= now;
 }
 
-/** A part of a holding that the same server goes on holding. */
-export function createPart(
-  whole: LiveHolding,
+/** Creates the state of a part of a split range, still at the same server. */
+export function createPartialLease(
+  whole: RangeLease,
   {from, to}: KeyRange,
   fence: number,
   now: number,
-): LiveHolding {
+): RangeLease {
   return {
     ...whole,
-    holding: {...whole.holding, from, to, fence},
+    assignment: {...whole.assignment, from, to, fence},
     phase: 'waiting',
-    order: null,
+    pendingCall: null,
     renewAt: now,
   };
 }
 
-/** Two neighbours of one server as one holding. */
-export function createMerged(
-  left: LiveHolding,
-  right: LiveHolding,
+/** Merges two adjacent ranges of one server into one. */
+export function createMergedLease(
+  left: RangeLease,
+  right: RangeLease,
   fence: number,
   now: number,
-): LiveHolding {
+): RangeLease {
   return {
     ...left,
-    holding: {...left.holding, to: right.holding.to, fence, handover: null},
+    assignment: {
+      ...left.assignment,
+      to: right.assignment.to,
+      fence,
+      handover: null,
+    },
     phase: 'waiting',
-    order: null,
+    pendingCall: null,
     renewAt: now,
-    lapseAt: Math.max(left.lapseAt, right.lapseAt),
-    unprovedUntil: Math.max(left.unprovedUntil, right.unprovedUntil),
-    foreignUntil: Math.max(left.foreignUntil, right.foreignUntil),
+    expiresAt: Math.max(left.expiresAt, right.expiresAt),
+    lateGrantUntil: Math.max(left.lateGrantUntil, right.lateGrantUntil),
+    earlierLeaderGrantUntil: Math.max(
+      left.earlierLeaderGrantUntil,
+      right.earlierLeaderGrantUntil,
+    ),
   };
 }
--- /dev/null
+++ b/packages/ranges/src/table-writer.ts
@@ -0,0 +1,73 @@
+import {sleep, type Clock} from '@banyandrum/base/clock.js';
+import type {TableStore, SaveResult} from './ledger.js';
+import type {RangeTable} from './table.js';
+
+/** Writes a service's table, one write at a time. */
+export interface TableWriter {
+  /**
+   * Resolves with true once the current or a newer table is stored; with false
+   * if this leader has been fenced off or stopped.
+   */
+  save(): Promise<boolean>;
+  stop(): void;
+}
+
+/** Delay before a failed write is retried, in ms. */
+const RETRY_DELAY_MS = 150;
+
+/**
+ * Creates a writer for the table that `currentTable` returns. Changes made
+ * during a write are combined in the next one.
+ *
+ * @example
+ * ```ts
+ * const writer = createTableWriter(tableStore, clock, () => table, onFenced);
+ * if (await writer.save()) grantLeases();
+ * ```
+ */
+export function createTableWriter(
+  tableStore: Pick<TableStore, 'save'>,
+  clock: Clock,
+  currentTable: () => RangeTable,
+  onFenced: () => void,
+): TableWriter {
+  let isStopped = false;
+  let activeWrite: Promise<boolean> | null = null;
+  let nextWrite: Promise<boolean> | null = null;
+
+  const write = async (): Promise<boolean> => {
+    while (!isStopped) {
+      const result: SaveResult = await tableStore.save(currentTable());
+      if (result === 'saved') return true;
+      if (result === 'fenced') {
+        isStopped = true;
+        onFenced();
+        return false;
+      }
+      await sleep(clock, RETRY_DELAY_MS);
+    }
+    return false;
+  };
+
+  const start = (): Promise<boolean> => {
+    const run = write().finally(() => {
+      if (activeWrite === run) activeWrite = null;
+    });
+    activeWrite = run;
+    return run;
+  };
+
+  return {
+    save() {
+      if (activeWrite === null) return start();
+      nextWrite ??= activeWrite.then(() => {
+        nextWrite = null;
+        return start();
+      });
+      return nextWrite;
+    },
+    stop() {
+      isStopped = true;
+    },
+  };
+}
--- /dev/null
+++ b/packages/ranges/test/fake-cluster.ts
@@ -0,0 +1,245 @@
+import type {Clock} from '@banyandrum/base/clock.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/ledger.js';
+import type {LeaseCallResult, LeaseClient} from '@banyandrum/ranges/orders.js';
+import type {RangeAssignment, RangeTable} from '@banyandrum/ranges/table.js';
+
+/** A lease as a fake server tracks it. */
+interface FakeLease {
+  readonly from: number;
+  readonly to: number;
+  readonly fence: number;
+  readonly expiresAt: number;
+}
+
+/** A server that carries out calls, sometimes late, and with a slow clock. */
+export interface FakeServer {
+  readonly id: string;
+  readonly address: string;
+  isUp: boolean;
+  /** Numbers of the leaders that can't reach this server. */
+  readonly unreachableBy: Set<number>;
+  leases: FakeLease[];
+  /** Every range that was granted, with its fence. */
+  seenFences: FakeLease[];
+}
+
+/** Probabilities of faults, from 0 to 1. */
+export interface FaultRates {
+  /** A call is carried out 2 to 12 s later and not answered. */
+  late: number;
+  /** The answer to a call is lost. */
+  unanswered: number;
+  /** A write to the table store fails. */
+  unsaved: number;
+}
+
+/** Servers and a table store; checks that no key has two lease holders. */
+export interface FakeCluster {
+  readonly servers: FakeServer[];
+  readonly faultRates: FaultRates;
+  readonly violations: string[];
+  createLeaseClient(leader: number): LeaseClient;
+  createTableStore(): TableStore;
+  /** Ids of the servers that hold a lease on the key now. */
+  holdersOf(key: number): readonly string[];
+}
+
+/** How much longer than requested a lease lasts on a server's slow clock. */
+const MAX_CLOCK_SLOWDOWN = 1.02;
+const STEP_KEYS = 512;
+
+/**
+ * Creates the servers and the table store that test leaders work with.
+ *
+ * @example
+ * ```ts
+ * const cluster = createFakeCluster(clock, random, ['s1', 's2']);
+ * ```
+ */
+export function createFakeCluster(
+  clock: Clock,
+  random: () => number,
+  ids: readonly string[],
+): FakeCluster {
+  const servers: FakeServer[] = ids.map((id, at) => ({
+    id,
+    address: `10.0.0.${at}:80`,
+    isUp: true,
+    unreachableBy: new Set(),
+    leases: [],
+    seenFences: [],
+  }));
+  const faultRates: FaultRates = {late: 0, unanswered: 0, unsaved: 0};
+  const violations: string[] = [];
+  const granted = new Map<number, {fence: number; server: string}>();
+  let tables = new Map<string, RangeTable>();
+  let terms = 0;
+  let newestTerm = 0;
+
+  const holdsKey = (server: FakeServer, key: number): boolean =>
+    server.isUp &&
+    server.leases.some(
+      ({from, to, expiresAt}) =>
+        from <= key && key <= to && expiresAt > clock.now(),
+    );
+
+  const holdersOf = (key: number): readonly string[] =>
+    servers.filter(server => holdsKey(server, key)).map(({id}) => id);
+
+  const check = ({from, to, fence}: RangeAssignment, server: string): void => {
+    for (let key = from; key <= to; key += STEP_KEYS) {
+      const holders = holdersOf(key);
+      if (holders.length > 1) {
+        violations.push(`${key}: ${holders.join(', ')} at ${clock.now()}`);
+      }
+      const before = granted.get(key);
+      if (before === undefined || fence > before.fence) {
+        granted.set(key, {fence, server});
+      } else if (before.server !== server) {
+        violations.push(`${key}: fence ${fence} after ${before.fence}`);
+      }
+    }
+  };
+
+  const overlaps = (a: FakeLease, b: RangeAssignment): boolean =>
+    a.from <= b.to && b.from <= a.to;
+
+  const applyGrant = (
+    server: FakeServer,
+    assignment: RangeAssignment,
+    expiresAt: number,
+  ): boolean => {
+    const {from, to, fence} = assignment;
+    if (
+      server.seenFences.some(
+        seen => overlaps(seen, assignment) && seen.fence > fence,
+      )
+    )
+      return false;
+    server.leases = server.leases.flatMap(lease =>
+      subtractRange(lease, assignment),
+    );
+    const lease = {from, to, fence, expiresAt};
+    server.leases.push(lease);
+    server.seenFences.push(lease);
+    if (expiresAt > clock.now()) check(assignment, server.id);
+    return true;
+  };
+
+  const applyRelease = (
+    server: FakeServer,
+    assignment: RangeAssignment,
+  ): void => {
+    server.leases = server.leases.flatMap(lease =>
+      subtractRange(lease, assignment),
+    );
+  };
+
+  const deliver = (
+    leader: number,
+    assignment: RangeAssignment,
+    apply: (server: FakeServer, arrivedAt: number) => boolean,
+    timeoutMs: number,
+  ): Promise<LeaseCallResult> =>
+    new Promise(resolve => {
+      const server = servers.find(({address, id, isUp, unreachableBy}) => {
+        const isAddressed =
+          address === assignment.address && id === assignment.server;
+        return isAddressed && isUp && !unreachableBy.has(leader);
+      });
+      const resolveAtTimeout = (kind: 'unsent' | 'unproved'): void => {
+        clock.after(timeoutMs, () => resolve({kind}));
+      };
+      if (server === undefined) {
+        clock.after(400, () => resolve({kind: 'unsent'}));
+        return;
+      }
+      clock.after(1 + random() * 4, () => {
+        const draw = random();
+        const arrivedAt = clock.now();
+        if (draw < faultRates.late) {
+          clock.after(
+            2_000 + random() * 10_000,
+            () => void apply(server, arrivedAt),
+          );
+          return resolveAtTimeout('unproved');
+        }
+        const isDone = apply(server, arrivedAt);
+        if (draw < faultRates.late + faultRates.unanswered)
+          return resolveAtTimeout('unproved');
+        clock.after(1 + random() * 4, () =>
+          resolve(
+            isDone
+              ? {kind: 'done', handover: `h${clock.now()}`}
+              : {kind: 'fenced'},
+          ),
+        );
+      });
+    });
+
+  return {
+    servers,
+    faultRates,
+    violations,
+    holdersOf,
+    createLeaseClient: leader => ({
+      grant(assignment, leaseMs, timeoutMs) {
+        return deliver(
+          leader,
+          assignment,
+          // A lease starts when the call arrives, however late it is carried
+          // out.
+          (server, arrivedAt) =>
+            applyGrant(
+              server,
+              assignment,
+              arrivedAt + leaseMs * MAX_CLOCK_SLOWDOWN,
+            ),
+          timeoutMs,
+        );
+      },
+      release: (assignment, timeoutMs) =>
+        deliver(
+          leader,
+          assignment,
+          server => {
+            applyRelease(server, assignment);
+            return true;
+          },
+          timeoutMs,
+        ),
+    }),
+    createTableStore() {
+      let term = 0;
+      return {
+        async beginTerm() {
+          term = ++terms;
+          newestTerm = term;
+          return term;
+        },
+        isNewestTerm: async () => newestTerm === term,
+        lastLeader: async () => ({kind: 'read', address: null}),
+        load: async () => [...tables.values()],
+        save: table =>
+          new Promise<SaveResult>(resolve => {
+            clock.after(2 + random() * 8, () => {
+              if (newestTerm !== term) return resolve('fenced');
+              if (random() < faultRates.unsaved) return resolve('failed');
+              tables = new Map(tables).set(table.service, table);
+              resolve('saved');
+            });
+          }),
+      };
+    },
+  };
+}
+
+function subtractRange(
+  lease: FakeLease,
+  {from, to}: RangeAssignment,
+): readonly FakeLease[] {
+  if (lease.to < from || to < lease.from) return [lease];
+  const left = {...lease, to: from - 1};
+  const right = {...lease, from: to + 1};
+  return [left, right].filter(each => each.from <= each.to);
+}
--- /dev/null
+++ b/packages/ranges/test/harness.ts
@@ -0,0 +1,121 @@
+import {inheritRecorded} from '@banyandrum/ranges/inheritance.js';
+import {
+  createServiceLeader,
+  type ServiceLeader,
+} from '@banyandrum/ranges/lead-service.js';
+import {AUTHORITY_MS, createLeaseTiming} from '@banyandrum/ranges/timing.js';
+import {
+  createManualClock,
+  type ManualClock,
+} from '@banyandrum/standins/manual-clock.js';
+import {createRandom} from '@banyandrum/standins/seeded-random.js';
+import {createFakeCluster, type FakeCluster} from './fake-cluster.js';
+
+const TICK_MS = 50;
+const FENCES_PER_TERM = 4_096;
+
+/** A leader under test. */
+export interface TestLeader {
+  readonly serviceLeader: ServiceLeader;
+  /** Whether its process is suspended. */
+  isFrozen: boolean;
+  /** Whether it has been fenced off by a later leader. */
+  isReplaced: boolean;
+  /** When its successor was started, in ms; the leader doesn't know this. */
+  replacedAt: number;
+}
+
+/** Leaders, and the fake cluster that they work with. */
+export interface Harness {
+  readonly clock: ManualClock;
+  readonly cluster: FakeCluster;
+  /** Ids missing from the list of servers. */
+  readonly unlisted: Set<string>;
+  /** When the list of servers counts as complete, in ms; by default at once. */
+  listSettledAt: number;
+  /** Starts a leader that succeeds the previous one. */
+  startLeader(): Promise<TestLeader>;
+  /** Suspends the process of the latest leader. */
+  freezeLatestLeader(): void;
+  /** Advances the clock and runs the ticks of all running leaders. */
+  advance(ms: number): Promise<void>;
+}
+
+/** Creates a harness with the given servers; the seed determines the faults. */
+export function createHarness(seed: number, ids: readonly string[]): Harness {
+  const random = createRandom(seed);
+  const clock = createManualClock(1_000);
+  const cluster = createFakeCluster(clock, random, ids);
+  const unlisted = new Set<string>();
+  const leaders: TestLeader[] = [];
+  const harness: Harness = {
+    clock,
+    cluster,
+    unlisted,
+    listSettledAt: 0,
+    async startLeader() {
+      const tableStore = cluster.createTableStore();
+      const number = leaders.length;
+      const epoch = (await tableStore.beginTerm(`10.0.1.${number}:7200`))!;
+      const stored = (await tableStore.load())!;
+      let fence = 1;
+      const serviceLeader = createServiceLeader({
+        service: 'rounds',
+        inherited: stored[0] ? inheritRecorded(stored[0], epoch) : null,
+        earlierLeadersActUntil: -Infinity,
+        areUnrecordedKeysFree: () => true,
+        suspendAwareNow: () => clock.now(),
+        tableStore,
+        leaseClient: cluster.createLeaseClient(number),
+        clock,
+        timing: createLeaseTiming(10_000),
+        servers: () =>
+          cluster.servers
+            .filter(({id}) => !unlisted.has(id))
+            .map(({id, address, isUp}) => ({
+              ...{id, address, slots: 2, serviceMs: 400, isOpen: isUp},
+            })),
+        hasEnded: () => false,
+        isListSettled: () => clock.now() >= harness.listSettledAt,
+        queuedKeys: () => [],
+        nextFence: () => epoch * FENCES_PER_TERM + fence++,
+        mayAct: () =>
+          !leader.isReplaced &&
+          !leader.isFrozen &&
+          clock.now() - leader.replacedAt < AUTHORITY_MS,
+        onChange: () => undefined,
+        onWithdrawn: () => undefined,
+        onFenced() {
+          leader.isReplaced = true;
+          serviceLeader.stop();
+        },
+        emit: () => undefined,
+      });
+      const leader: TestLeader = {
+        ...{serviceLeader, isFrozen: false, isReplaced: false},
+        replacedAt: Infinity,
+      };
+      const previous = leaders.at(-1);
+      if (previous !== undefined) previous.replacedAt = clock.now();
+      leaders.push(leader);
+      return leader;
+    },
+    freezeLatestLeader() {
+      leaders.at(-1)!.isFrozen = true;
+    },
+    async advance(ms) {
+      for (let passed = 0; passed < ms; passed += TICK_MS) {
+        for (const {serviceLeader, isFrozen, isReplaced} of leaders) {
+          if (!isFrozen && !isReplaced) serviceLeader.tick();
+        }
+        await clock.advance(TICK_MS);
+      }
+    },
+  };
+  return harness;
+}
+
+/** Counts the ranges of the leader that no server serves. */
+export function countUnserved({serviceLeader}: TestLeader): number {
+  return serviceLeader.served().filter(({server}) => server === null).length;
+}
