--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -14,7 +14,7 @@
 import {type HostWatch, parseCell} from './lease-servers.js';
 import type {LeaseHealth} from './lease-task.js';
 import {createLeaseTiming} from './lease-timing.js';
-import {createLoadWatch} from './load-watch.js';
+import {createLoadMonitor} from './load-watch.js';
 import {readinessOf} from './plan-input.js';
 import {createPlacer} from './placer.js';
 import {createRecovery} from './recovery.js';
@@ -153,18 +153,18 @@
     timing,
     signal,
   });
-  const watch = createLoadWatch(cell, options.loads, clock);
+  const watch = createLoadMonitor(cell, options.loads, clock);
   const placer = createPlacer({
     ...options,
-    watch,
+    loadMonitor: watch,
     map,
     registry,
     recorder,
     locator,
     tasks,
     signal,
-    wake,
-    foreignUntil: recovery.foreignUntil,
+    changed: wake,
+    formerLeaseExpiry: recovery.foreignUntil,
   });
 
   const lead = async (): Promise<void> => {
@@ -183,7 +183,7 @@
     stopper.abort();
     unsubscribe();
     await leading;
-    await registry.ended();
+    await registry.waitForTasks();
     return recovery.knowsTable() ? recorder.snapshot() : null;
   };
 
@@ -199,10 +199,10 @@
         slots,
         capacity: watch.capacityOf(name, slots),
         readiness: readinessOf({registry, now, warmUntil}, task),
-        busy: watch.seen(name)?.busy ?? 0,
+        busy: watch.lastObservation(name)?.busy ?? 0,
         health: task.health(),
-        leaving: registry.leaving(task),
-        shards: task.wanted().size,
+        leaving: registry.leavingReason(task),
+        shards: task.assigned().size,
         fence: task.fence(),
         leaseLeftMs: left > 0 ? left : null,
       };
--- a/packages/ownership/src/condition.ts
+++ b/packages/ownership/src/condition.ts
@@ -79,7 +79,7 @@
  * if (!(await within(clock, 1000, gate.close(cell, shard)))) giveUp();
  * ```
  */
-export function within(
+export function resolvesWithin(
   clock: Clock,
   ms: number,
   promise: Promise<unknown>,
--- a/packages/ownership/src/consent.ts
+++ b/packages/ownership/src/consent.ts
@@ -4,7 +4,7 @@
 import type {OwnershipContext} from './context.js';
 import type {Leadership, Tenure} from './leadership.js';
 import type {Membership} from './membership.js';
-import type {NoteUnreached} from './unreached.js';
+import type {UnreachableHandler} from './unreached.js';
 
 /** What a leader's questions for consent work with. */
 export interface ConsentOptions {
@@ -13,7 +13,7 @@
   readonly leadership: Leadership;
   /** Told of cells whose standby cannot be relied on any more. */
   readonly doubt: (tenures: readonly Tenure[], reason: string) => void;
-  readonly noteUnreached: NoteUnreached;
+  readonly noteUnreached: UnreachableHandler;
 }
 
 /**
@@ -93,7 +93,7 @@
   const heardAt = Math.max(
     tenure.holder.consentedAt(),
     tenure.viewSince(),
-    ctx.pauses.awakeSince(),
+    ctx.pauses.resumedAt(),
   );
   return ctx.clock.now() - heardAt;
 }
--- a/packages/ownership/src/handover.ts
+++ b/packages/ownership/src/handover.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import {untilAborted, within} from './condition.js';
+import {untilAborted, resolvesWithin} from './condition.js';
 import type {LeaseTask} from './lease-task.js';
 import type {ShardLocator} from './shard-locator.js';
 import type {ShardMap, Slot, TableRecorder} from './shard-table.js';
@@ -48,7 +48,7 @@
   slot: Slot,
   reason: string,
 ): void {
-  if (slot.server !== null) ctx.tasks.get(slot.server)?.drop([slot.shard]);
+  if (slot.server !== null) ctx.tasks.get(slot.server)?.remove([slot.shard]);
   slot.state = 'free';
   slot.server = null;
   slot.next = null;
@@ -86,7 +86,7 @@
   const quiet = untilAborted(locator.pause(slot, wait), signal);
   const isQuiet = mustGo
     ? quiet.then(() => true)
-    : within(clock, PATIENCE_MS, quiet);
+    : resolvesWithin(clock, PATIENCE_MS, quiet);
   if (await isQuiet) return !signal.aborted;
   if (signal.aborted) return false;
   slot.stayUntil = clock.now() + PUT_OFF_MS;
--- a/packages/ownership/src/hot-shards.ts
+++ b/packages/ownership/src/hot-shards.ts
@@ -1,33 +1,33 @@
 import type {Slot} from './shard-table.js';
 import {type ShardMap, hotShardOf} from './shard-table.js';
-import type {HotPair} from './hot-split.js';
+import type {HotKeySplit} from './hot-split.js';
 import type {HotKey} from './led-cell.js';
 
 /** What should become of the cell's hot keys. */
-export interface HotChanges {
-  readonly split: readonly HotPair[];
-  readonly merge: readonly HotPair[];
+export interface HotKeyChanges {
+  readonly split: readonly HotKeySplit[];
+  readonly merge: readonly HotKeySplit[];
 }
 
 /** Decides which keys are shards of their own. */
-export interface HotShards {
+export interface HotKeyTracker {
   /**
    * Takes one period's hot keys in. `capacity` is an average server's, in
    * slots; `busyOf` yields the smoothed load of a shard.
    */
-  note(
+  update(
     hotKeys: readonly HotKey[],
     capacity: number,
     busyOf: (shard: string) => number,
     now: number,
-  ): HotChanges;
+  ): HotKeyChanges;
 }
 
 /** A key is hot where it takes this share of an average server. */
-const SPLIT_SHARE = 0.1;
+const SPLIT_LOAD_SHARE = 0.1;
 
 /** A key that takes less than this is hot no more. */
-const MERGE_SHARE = 0.03;
+const MERGE_LOAD_SHARE = 0.03;
 
 /** Periods on end that a key must be hot, so that a short peak is ignored. */
 const SPLIT_PERIODS = 3;
@@ -36,10 +36,10 @@
 const MERGE_PERIODS = 60;
 
 /** Hot keys of one cell at most. */
-const MAX_HOT = 128;
+const MAX_HOT_KEYS = 128;
 
 /** Splits in one period at most: each stops its hash range for a moment. */
-const MAX_SPLITS = 4;
+const MAX_SPLITS_PER_PERIOD = 4;
 
 /**
  * Makes the decision of one cell; it keeps count of the periods.
@@ -49,7 +49,7 @@
  * const {split, merge} = hotShards.note(hotKeys, 4, loads.busyOf, now);
  * ```
  */
-export function createHotShards(map: ShardMap): HotShards {
+export function createHotKeyTracker(map: ShardMap): HotKeyTracker {
   let hotFor = new Map<string, number>();
   const coldFor = new Map<string, number>();
 
@@ -61,11 +61,11 @@
     hotFor = next;
   };
 
-  const findSplits = (now: number): HotPair[] => {
-    const pairs: HotPair[] = [];
-    const left = MAX_HOT - [...map.hotKeys()].length;
+  const findSplits = (now: number): HotKeySplit[] => {
+    const pairs: HotKeySplit[] = [];
+    const left = MAX_HOT_KEYS - [...map.hotKeys()].length;
     for (const [key, periods] of hotFor) {
-      if (pairs.length >= Math.min(left, MAX_SPLITS)) break;
+      if (pairs.length >= Math.min(left, MAX_SPLITS_PER_PERIOD)) break;
       if (periods < SPLIT_PERIODS) continue;
       if (map.get(hotShardOf(key)) !== undefined) continue;
       const range = map.rangeOf(key);
@@ -80,8 +80,8 @@
     least: number,
     busyOf: (shard: string) => number,
     now: number,
-  ): HotPair[] => {
-    const pairs: HotPair[] = [];
+  ): HotKeySplit[] => {
+    const pairs: HotKeySplit[] = [];
     for (const key of map.hotKeys()) {
       const hot = map.get(hotShardOf(key));
       const range = map.rangeOf(key);
@@ -99,9 +99,9 @@
   };
 
   return {
-    note(hotKeys, capacity, busyOf, now) {
-      countHot(hotKeys, capacity * SPLIT_SHARE);
-      const merge = findMerges(capacity * MERGE_SHARE, busyOf, now);
+    update(hotKeys, capacity, busyOf, now) {
+      countHot(hotKeys, capacity * SPLIT_LOAD_SHARE);
+      const merge = findMerges(capacity * MERGE_LOAD_SHARE, busyOf, now);
       return {split: findSplits(now), merge};
     },
   };
--- a/packages/ownership/src/hot-split.ts
+++ b/packages/ownership/src/hot-split.ts
@@ -7,7 +7,7 @@
 import type {Slot} from './shard-table.js';
 
 /** A hot key's slot and that of the hash range that it falls into. */
-export interface HotPair {
+export interface HotKeySplit {
   readonly key: string;
   readonly hot: Slot;
   readonly range: Slot;
@@ -27,7 +27,7 @@
  */
 export async function splitKey(
   ctx: HandoverContext,
-  pair: HotPair,
+  pair: HotKeySplit,
 ): Promise<void> {
   const {key, hot, range} = pair;
   const {map, recorder, locator} = ctx;
@@ -42,26 +42,29 @@
   recorder.touch();
   // Quiet before the server is told: an undone split would else stop what
   // runs for the key.
-  if (!(await quiesce(ctx, range, task, false))) return forget(ctx, key);
+  if (!(await quiesce(ctx, range, task, false))) return removeHotKey(ctx, key);
   if (await recorder.commit()) {
     task.add([hot.shard]);
-    if (await task.granted(hot.shard)) map.expose(key);
+    if (await task.waitUntilGranted(hot.shard)) map.expose(key);
     else await undoSplit(ctx, pair);
   }
   locator.resume(range);
 }
 
 /** The key never counted under its own id: the server must not keep it. */
-async function undoSplit(ctx: HandoverContext, pair: HotPair): Promise<void> {
+async function undoSplit(
+  ctx: HandoverContext,
+  pair: HotKeySplit,
+): Promise<void> {
   const {hot, key} = pair;
   if (ctx.signal.aborted) return;
   const task = hot.server === null ? undefined : ctx.tasks.get(hot.server);
   await task?.release(hot.shard);
   if (ctx.signal.aborted) return;
-  forget(ctx, key);
+  removeHotKey(ctx, key);
 }
 
-function forget({map, recorder}: HandoverContext, key: string): void {
+function removeHotKey({map, recorder}: HandoverContext, key: string): void {
   map.removeHot(key);
   recorder.touch();
 }
@@ -78,7 +81,7 @@
  */
 export async function mergeKey(
   ctx: HandoverContext,
-  pair: HotPair,
+  pair: HotKeySplit,
 ): Promise<void> {
   const {key, hot} = pair;
   const {map, locator, signal} = ctx;
@@ -91,5 +94,5 @@
   if (signal.aborted) return;
   map.conceal(key);
   locator.dissolve(hot);
-  forget(ctx, key);
+  removeHotKey(ctx, key);
 }
--- a/packages/ownership/src/lease-exchange.ts
+++ b/packages/ownership/src/lease-exchange.ts
@@ -10,10 +10,10 @@
 } from '@banyandrum/servers/client.js';
 import type {Authority} from './authority.js';
 import {withTimeout} from './condition.js';
-import {type Grant, createGrant, isObeyed} from './lease-grant.js';
+import {type Grant, createGrant, isApplied} from './lease-grant.js';
 import {
-  type Holding,
-  type Reading,
+  type LeaseTracker,
+  type ClockReading,
   type SentOrder,
   createSentOrder,
 } from './lease-holding.js';
@@ -46,7 +46,7 @@
   readonly timing: LeaseTiming;
   readonly log: Logger;
   readonly signal: AbortSignal;
-  readonly holding: Holding;
+  readonly tracker: LeaseTracker;
   readonly set: LeaseSet;
   /** Called with what a run of the server held when first asked. */
   readonly onReport: (shards: readonly ShardId[]) => void;
@@ -64,7 +64,15 @@
 export function createLeaseExchange(
   options: LeaseExchangeOptions,
 ): LeaseExchange {
-  const {server, authority, clock, timing, signal, holding, set} = options;
+  const {
+    server,
+    authority,
+    clock,
+    timing,
+    signal,
+    tracker: holding,
+    set,
+  } = options;
   const cell: CellId = authority.cell;
   let grant: Grant | null = null;
   let firstGrantAt: number | null = null;
@@ -75,11 +83,11 @@
     // Asked in the step that sends: a leader that was paused must not order
     // with an authority that ended meanwhile.
     if (!authority.mayAct()) return Promise.resolve('no-authority');
-    const echo = usableReading(holding, now, timing);
+    const echo = freshReading(holding, now, timing);
     if (echo === null) return askClock(now);
-    const {fence, shards} = set.take();
+    const {fence, shards} = set.next();
     const order = createSentOrder(fence, shards, echo, now, timing);
-    holding.noteSent(order);
+    holding.recordSent(order);
     return sendOrder(order);
   };
 
@@ -87,7 +95,7 @@
     const result = await send(null);
     if (result.err) return 'failed';
     noteStamp(result.val, askedAt);
-    set.raiseAbove(result.val.fence);
+    set.raiseFenceAbove(result.val.fence);
     return 'again';
   };
 
@@ -111,11 +119,11 @@
     );
   };
 
-  const noteStamp = (ack: LeaseAck, askedAt: number): Reading => {
-    const before = holding.reading();
+  const noteStamp = (ack: LeaseAck, askedAt: number): ClockReading => {
+    const before = holding.lastReading();
     const {stamp} = ack;
-    const reading: Reading = {stamp, askedAt, receivedAt: clock.now()};
-    holding.noteReading(reading);
+    const reading: ClockReading = {stamp, askedAt, receivedAt: clock.now()};
+    holding.recordReading(reading);
     if (before !== null && before.stamp.boot !== stamp.boot) {
       grant = null;
       firstGrantAt = null;
@@ -130,18 +138,18 @@
 
   const refuse = (order: SentOrder, err: ServerError): ExchangeOutcome => {
     const isRefused = err.kind === 'unreachable' || err.kind === 'fenced';
-    if (isRefused) holding.noteRefused(order);
+    if (isRefused) holding.recordRejected(order);
     if (err.kind !== 'fenced') return 'failed';
     const known = err.fence ?? null;
     if (known?.epoch !== authority.epoch) return 'failed';
-    set.raiseAbove(known);
+    set.raiseFenceAbove(known);
     return 'again';
   };
 
   const acknowledge = (order: SentOrder, ack: LeaseAck): ExchangeOutcome => {
-    const obeyed = isObeyed(order, ack, timing);
-    if (obeyed) holding.noteObeyed(order);
-    else holding.noteRefused(order);
+    const obeyed = isApplied(order, ack, timing);
+    if (obeyed) holding.recordApplied(order);
+    else holding.recordRejected(order);
     const reading = noteStamp(ack, order.sentAt);
     if (!obeyed) {
       const restarted = ack.stamp.boot !== order.echo.stamp.boot;
@@ -156,12 +164,12 @@
 }
 
 /** A reading that still buys at least half a lease, or null. */
-function usableReading(
-  holding: Holding,
+function freshReading(
+  holding: LeaseTracker,
   now: number,
   timing: LeaseTiming,
-): Reading | null {
-  const reading = holding.reading();
+): ClockReading | null {
+  const reading = holding.lastReading();
   if (reading === null) return null;
   return now - reading.askedAt < timing.ttlMs / 2 ? reading : null;
 }
--- a/packages/ownership/src/lease-grant.ts
+++ b/packages/ownership/src/lease-grant.ts
@@ -1,6 +1,6 @@
 import type {ShardId} from '@banyandrum/base/ids.js';
 import type {LeaseAck, Stamp} from '@banyandrum/servers/client.js';
-import type {Reading, SentOrder} from './lease-holding.js';
+import type {ClockReading, SentOrder} from './lease-holding.js';
 import type {LeaseTiming} from './lease-timing.js';
 
 /** A lease that requests can be dispatched under. */
@@ -23,19 +23,19 @@
  */
 export function createGrant(
   order: SentOrder,
-  newest: Reading,
+  latestReading: ClockReading,
   timing: LeaseTiming,
 ): Grant {
-  const {boot, ms} = newest.stamp;
-  const pace = 1 - timing.drift;
+  const {boot, ms} = latestReading.stamp;
+  const slowestRate = 1 - timing.drift;
   return {
     shards: order.shards,
-    leaseEnd: order.surelyUntil,
+    leaseEnd: order.earliestExpiry,
     // The server read its clock before the answer arrived here, so counting
     // from the arrival errs early; so does the slower pace.
     toServerTime: localMs => ({
       boot,
-      ms: ms + Math.max(0, localMs - newest.receivedAt) * pace,
+      ms: ms + Math.max(0, localMs - latestReading.receivedAt) * slowestRate,
     }),
   };
 }
@@ -50,7 +50,7 @@
  * if (!isObeyed(order, ack, timing)) holding.noteRefused(order);
  * ```
  */
-export function isObeyed(
+export function isApplied(
   order: SentOrder,
   ack: LeaseAck,
   timing: LeaseTiming,
--- a/packages/ownership/src/lease-holding.ts
+++ b/packages/ownership/src/lease-holding.ts
@@ -10,7 +10,7 @@
  * A reading of the server's clock. The server took it after `askedAt` and
  * before `receivedAt`, both by this process's monotonic clock.
  */
-export interface Reading {
+export interface ClockReading {
   readonly stamp: Stamp;
   readonly askedAt: number;
   readonly receivedAt: number;
@@ -20,45 +20,45 @@
 export interface SentOrder {
   readonly fence: Fence;
   readonly shards: ReadonlySet<ShardId>;
-  readonly echo: Reading;
+  readonly echo: ClockReading;
   readonly sentAt: number;
   /** Until then the server surely obeys it, once it has acknowledged it. */
-  readonly surelyUntil: number;
+  readonly earliestExpiry: number;
   /** From then on the server surely doesn't obey it any more. */
-  readonly possiblyUntil: number;
+  readonly latestExpiry: number;
 }
 
 /** How long orders of former leaders may count at a server. */
-export interface ForeignLimit {
+export interface FormerLeaseLimit {
   /** When they had surely stopped sending; infinite while that isn't known. */
   readonly clearedAt: number;
   /** When the last of their orders has surely lapsed. */
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
-export const NOT_CLEARED: ForeignLimit = {
+export const UNLIMITED_FORMER_LEASES: FormerLeaseLimit = {
   clearedAt: Infinity,
-  until: Infinity,
+  expiresAt: Infinity,
 };
 
 /** The account of one server. */
-export interface Holding {
+export interface LeaseTracker {
   /** The newest reading of its clock. */
-  reading(): Reading | null;
+  lastReading(): ClockReading | null;
   /** The newest order that it acknowledged, or null. */
-  acknowledged(): SentOrder | null;
+  lastApplied(): SentOrder | null;
   /** Notes a reading; a new boot id voids all that the old run was told. */
-  noteReading(reading: Reading): void;
+  recordReading(reading: ClockReading): void;
   /** Notes an order in the step that sends it. */
-  noteSent(order: SentOrder): void;
+  recordSent(order: SentOrder): void;
   /** The server obeyed the order. */
-  noteObeyed(order: SentOrder): void;
+  recordApplied(order: SentOrder): void;
   /** The order surely wasn't obeyed and never will be. */
-  noteRefused(order: SentOrder): void;
+  recordRejected(order: SentOrder): void;
   /** Until when a former leader's orders may count; past: none does. */
-  foreignUntil(): number;
+  formerLeaseExpiry(): number;
   /** The former leaders are known to have stopped. */
-  limitForeign(limit: ForeignLimit): void;
+  limitFormerLeases(limit: FormerLeaseLimit): void;
   /** When the server surely doesn't hold the shard; past: it doesn't now. */
   mayHoldUntil(shard: ShardId): number;
   /** When the server surely holds nothing at all. */
@@ -74,11 +74,11 @@
  * if (holding.mayHoldUntil('12') < clock.now()) grantElsewhere('12');
  * ```
  */
-export function createHolding(
+export function createLeaseTracker(
   checksFences: boolean,
-  foreignLimit: ForeignLimit,
-): Holding {
-  let reading: Reading | null = null;
+  foreignLimit: FormerLeaseLimit,
+): LeaseTracker {
+  let reading: ClockReading | null = null;
   let acknowledged: SentOrder | null = null;
   let unanswered: SentOrder[] = [];
   let foreign = foreignLimit;
@@ -89,15 +89,17 @@
   // anew, out of our sight. So only what we sent after that leader had
   // stopped proves that its orders are shut out.
   const foreignUntil = (): number => {
-    if (!checksFences || acknowledged === null) return foreign.until;
-    return acknowledged.sentAt >= foreign.clearedAt ? -Infinity : foreign.until;
+    if (!checksFences || acknowledged === null) return foreign.expiresAt;
+    return acknowledged.sentAt >= foreign.clearedAt
+      ? -Infinity
+      : foreign.expiresAt;
   };
 
   const forget = (order: SentOrder): void => {
     unanswered = unanswered.filter(other => other !== order);
   };
 
-  const noteReading = (next: Reading): void => {
+  const noteReading = (next: ClockReading): void => {
     if (reading !== null && reading.stamp.boot !== next.stamp.boot) {
       acknowledged = null;
       unanswered = [];
@@ -115,27 +117,27 @@
   const latest = (matches: (order: SentOrder) => boolean): number => {
     let until = foreignUntil();
     if (acknowledged !== null && matches(acknowledged)) {
-      until = Math.max(until, acknowledged.possiblyUntil);
+      until = Math.max(until, acknowledged.latestExpiry);
     }
     for (const order of unanswered) {
-      if (matches(order)) until = Math.max(until, order.possiblyUntil);
+      if (matches(order)) until = Math.max(until, order.latestExpiry);
     }
     return until;
   };
 
   return {
-    reading: () => reading,
-    acknowledged: () => acknowledged,
-    noteReading,
-    noteSent(order) {
+    lastReading: () => reading,
+    lastApplied: () => acknowledged,
+    recordReading: noteReading,
+    recordSent(order) {
       const {receivedAt} = order.echo;
-      unanswered = unanswered.filter(old => old.possiblyUntil > receivedAt);
+      unanswered = unanswered.filter(old => old.latestExpiry > receivedAt);
       unanswered.push(order);
     },
-    noteObeyed,
-    noteRefused: forget,
-    foreignUntil,
-    limitForeign(limit) {
+    recordApplied: noteObeyed,
+    recordRejected: forget,
+    formerLeaseExpiry: foreignUntil,
+    limitFormerLeases(limit) {
       foreign = limit;
     },
     mayHoldUntil: shard => latest(order => order.shards.has(shard)),
@@ -150,7 +152,7 @@
 export function createSentOrder(
   fence: Fence,
   shards: ReadonlySet<ShardId>,
-  echo: Reading,
+  echo: ClockReading,
   sentAt: number,
   timing: LeaseTiming,
 ): SentOrder {
@@ -160,7 +162,7 @@
     shards,
     echo,
     sentAt,
-    surelyUntil: echo.askedAt + ttlMs - marginMs,
-    possiblyUntil: echo.receivedAt + ttlMs + marginMs,
+    earliestExpiry: echo.askedAt + ttlMs - marginMs,
+    latestExpiry: echo.receivedAt + ttlMs + marginMs,
   };
 }
--- a/packages/ownership/src/lease-probe.ts
+++ b/packages/ownership/src/lease-probe.ts
@@ -21,7 +21,7 @@
   run(): Promise<void>;
 }
 
-const PROBE_MS = 1000;
+const PROBE_INTERVAL_MS = 1000;
 const PROBE_TIMEOUT_MS = 500;
 
 /**
@@ -50,7 +50,7 @@
     async run() {
       while (!signal.aborted) {
         last = await ask();
-        await sleep(clock, PROBE_MS, signal);
+        await sleep(clock, PROBE_INTERVAL_MS, signal);
       }
     },
   };
--- a/packages/ownership/src/lease-registry.ts
+++ b/packages/ownership/src/lease-registry.ts
@@ -6,7 +6,10 @@
 import type {StateStore} from '@banyandrum/config/store.js';
 import type {ServerClient, ServerRef} from '@banyandrum/servers/client.js';
 import type {Authority} from './authority.js';
-import {type ForeignLimit, NOT_CLEARED} from './lease-holding.js';
+import {
+  type FormerLeaseLimit,
+  UNLIMITED_FORMER_LEASES,
+} from './lease-holding.js';
 import {type LoadProbe, createLoadProbe} from './lease-probe.js';
 import {
   type HostWatch,
@@ -39,18 +42,18 @@
   /** Opens leases of servers that came, ends those of servers that went. */
   refresh(): void;
   /** Runs the tasks of servers that check fences. */
-  runChecking(): void;
+  runFenceChecking(): void;
   /** Runs all tasks, now and later ones. */
   runAll(): void;
   /** Tells all that the former leaders are known to have stopped. */
-  limitForeign(limit: ForeignLimit): void;
+  limitFormerLeases(limit: FormerLeaseLimit): void;
   /** Why the server is being emptied, or null. */
-  leaving(task: LeaseTask): LeavingReason | null;
+  leavingReason(task: LeaseTask): LeavingReason | null;
   probe(task: LeaseTask): LoadProbe | undefined;
   fences(): ReadonlyMap<string, Fence>;
   addresses(): ReadonlyMap<string, string>;
   /** Resolves when all tasks have ended. */
-  ended(): Promise<void>;
+  waitForTasks(): Promise<void>;
 }
 
 interface Member {
@@ -80,7 +83,7 @@
   const tasks = new Map<string, LeaseTask>();
   const runs = new Set<Promise<void>>();
   let permitted: 'none' | 'checking' | 'all' = 'none';
-  let foreign = NOT_CLEARED;
+  let foreign = UNLIMITED_FORMER_LEASES;
 
   // Made anew only with a new inventory: the cell asks at every tick, and the
   // list of all servers grows with the whole system.
@@ -103,7 +106,7 @@
       ...options,
       server,
       checksFences,
-      foreign,
+      formerLeases: foreign,
       signal,
     });
     const probe = createLoadProbe({...options, server, signal});
@@ -126,7 +129,7 @@
   };
 
   const isEmpty = (task: LeaseTask): boolean =>
-    task.wanted().size === 0 && task.mayHoldAnyUntil() <= clock.now();
+    task.assigned().size === 0 && task.mayHoldAnyUntil() <= clock.now();
 
   const refresh = (): void => {
     const {found, wanted} = wantedOf(store.current().inventory);
@@ -162,7 +165,7 @@
   return {
     tasks,
     refresh,
-    runChecking() {
+    runFenceChecking() {
       permitted = 'checking';
       runPermitted();
     },
@@ -170,11 +173,11 @@
       permitted = 'all';
       runPermitted();
     },
-    limitForeign(limit) {
+    limitFormerLeases(limit) {
       foreign = limit;
-      for (const task of tasks.values()) task.limitForeign(limit);
+      for (const task of tasks.values()) task.limitFormerLeases(limit);
     },
-    leaving(task) {
+    leavingReason(task) {
       const member = members.get(task.server.name);
       return leavingReason(
         task.server,
@@ -189,7 +192,7 @@
       new Map(Array.from(tasks, ([name, task]) => [name, task.fence()])),
     addresses: () =>
       new Map(Array.from(tasks, ([name, {server}]) => [name, server.address])),
-    async ended() {
+    async waitForTasks() {
       await Promise.all(runs);
     },
   };
--- a/packages/ownership/src/lease-set.ts
+++ b/packages/ownership/src/lease-set.ts
@@ -2,25 +2,25 @@
 import type {Authority} from './authority.js';
 
 /** What the next order names. */
-export interface OrderedSet {
+export interface FencedShards {
   readonly fence: Fence;
   readonly shards: ReadonlySet<ShardId>;
 }
 
 /** The shards that a server is to hold, and the fence that goes with them. */
 export interface LeaseSet {
-  wanted(): ReadonlySet<ShardId>;
+  assigned(): ReadonlySet<ShardId>;
   add(shards: Iterable<ShardId>): void;
   /** Returns whether any of them was there. */
-  drop(shards: Iterable<ShardId>): boolean;
+  remove(shards: Iterable<ShardId>): boolean;
   /** Whether the set differs from the one last taken. */
   hasChanged(): boolean;
   /** The set for an order; its fence is a new one where it has changed. */
-  take(): OrderedSet;
+  next(): FencedShards;
   /** The fence of the set last taken. */
   fence(): Fence;
   /** Raises the next fence above one that the server knows of this epoch. */
-  raiseAbove(known: Fence | null): void;
+  raiseFenceAbove(known: Fence | null): void;
 }
 
 /**
@@ -42,19 +42,19 @@
   let fence: Fence = {epoch: authority.epoch, sequence};
 
   return {
-    wanted: () => wanted,
+    assigned: () => wanted,
     add(shards) {
       for (const shard of shards) wanted.add(shard);
       changed = true;
     },
-    drop(shards) {
+    remove(shards) {
       let found = false;
       for (const shard of shards) found = wanted.delete(shard) || found;
       changed ||= found;
       return found;
     },
     hasChanged: () => changed,
-    take() {
+    next() {
       const {epoch} = authority;
       if (changed) {
         sequence++;
@@ -65,7 +65,7 @@
       return {fence, shards: taken};
     },
     fence: () => fence,
-    raiseAbove(known) {
+    raiseFenceAbove(known) {
       if (known === null || known.epoch !== authority.epoch) return;
       if (known.sequence <= sequence) return;
       sequence = known.sequence;
--- a/packages/ownership/src/lease-task.ts
+++ b/packages/ownership/src/lease-task.ts
@@ -6,7 +6,7 @@
 import {createCondition} from './condition.js';
 import {type ExchangeOutcome, createLeaseExchange} from './lease-exchange.js';
 import type {Grant} from './lease-grant.js';
-import {type ForeignLimit, createHolding} from './lease-holding.js';
+import {type FormerLeaseLimit, createLeaseTracker} from './lease-holding.js';
 import {createLeaseSet} from './lease-set.js';
 import type {LeaseTiming} from './lease-timing.js';
 
@@ -22,7 +22,7 @@
   readonly timing: LeaseTiming;
   readonly log: Logger;
   /** How long a former leader's orders may count at it. */
-  readonly foreign: ForeignLimit;
+  readonly formerLeases: FormerLeaseLimit;
   /** Ends the task. */
   readonly signal: AbortSignal;
   /** Called after each exchange, and whether the server's health changed. */
@@ -43,27 +43,27 @@
   /** When this run of the server got its first lease here, or null. */
   firstGrantAt(): number | null;
   /** Shards that the next order names. */
-  wanted(): ReadonlySet<ShardId>;
+  assigned(): ReadonlySet<ShardId>;
   /**
    * Adds shards to the next order. The caller has recorded them as this
    * server's, and no other server may hold them.
    */
   add(shards: Iterable<ShardId>): void;
   /** Takes shards out of the next order. */
-  drop(shards: Iterable<ShardId>): void;
+  remove(shards: Iterable<ShardId>): void;
   /** Drops the shard; resolves once the server surely doesn't hold it. */
   release(shard: ShardId): Promise<void>;
   /**
    * Resolves to true once the server has acknowledged the shard, to false
    * where it doesn't answer.
    */
-  granted(shard: ShardId): Promise<boolean>;
+  waitUntilGranted(shard: ShardId): Promise<boolean>;
   /** When the server surely doesn't hold the shard; past: not now. */
   mayHoldUntil(shard: ShardId): number;
   mayHoldAnyUntil(): number;
   /** Until when a former leader's orders may count; past: none does. */
-  foreignUntil(): number;
-  limitForeign(limit: ForeignLimit): void;
+  formerLeaseExpiry(): number;
+  limitFormerLeases(limit: FormerLeaseLimit): void;
   /** Runs until the signal aborts. */
   run(): Promise<void>;
 }
@@ -88,14 +88,14 @@
  */
 export function createLeaseTask(options: LeaseTaskOptions): LeaseTask {
   const {server, clock, timing, signal, checksFences} = options;
-  const holding = createHolding(checksFences, options.foreign);
+  const holding = createLeaseTracker(checksFences, options.formerLeases);
   const set = createLeaseSet(options.authority);
   const changed = createCondition(clock);
   const answered = createCondition(clock);
   let health: LeaseHealth = 'new';
   const exchange = createLeaseExchange({
     ...options,
-    holding,
+    tracker: holding,
     set,
     onReport: shards => options.onReport(task, shards),
   });
@@ -133,7 +133,7 @@
   };
 
   const release = async (shard: ShardId): Promise<void> => {
-    task.drop([shard]);
+    task.remove([shard]);
     while (!signal.aborted) {
       const until = holding.mayHoldUntil(shard);
       const now = clock.now();
@@ -157,21 +157,21 @@
     fence: set.fence,
     health: () => health,
     firstGrantAt: exchange.firstGrantAt,
-    wanted: set.wanted,
+    assigned: set.assigned,
     add(shards) {
       set.add(shards);
       hurry();
     },
-    drop(shards) {
-      if (set.drop(shards)) hurry();
+    remove(shards) {
+      if (set.remove(shards)) hurry();
     },
     release,
-    granted,
+    waitUntilGranted: granted,
     mayHoldUntil: holding.mayHoldUntil,
     mayHoldAnyUntil: holding.mayHoldAnyUntil,
-    foreignUntil: holding.foreignUntil,
-    limitForeign(limit) {
-      holding.limitForeign(limit);
+    formerLeaseExpiry: holding.formerLeaseExpiry,
+    limitFormerLeases(limit) {
+      holding.limitFormerLeases(limit);
       answered.notify();
     },
     run,
--- a/packages/ownership/src/lease-timing.ts
+++ b/packages/ownership/src/lease-timing.ts
@@ -13,13 +13,13 @@
 }
 
 /** Covers timers and clock readings, which are no finer than this. */
-const COARSENESS_MS = 20;
+const CLOCK_GRANULARITY_MS = 20;
 
 /**
  * Shorter than the renewal period, so that two orders can be lost before the
  * lease ends.
  */
-const ORDER_TIMEOUT_SHARE = 0.6;
+const ORDER_TIMEOUT_FACTOR = 0.6;
 
 const PPM = 1e6;
 
@@ -36,8 +36,8 @@
   return {
     renewMs: timing.renewMs,
     ttlMs: timing.leaseMs,
-    marginMs: timing.leaseMs * drift + COARSENESS_MS,
-    orderTimeoutMs: timing.renewMs * ORDER_TIMEOUT_SHARE,
+    marginMs: timing.leaseMs * drift + CLOCK_GRANULARITY_MS,
+    orderTimeoutMs: timing.renewMs * ORDER_TIMEOUT_FACTOR,
     drift,
   };
 }
--- a/packages/ownership/src/load-watch.ts
+++ b/packages/ownership/src/load-watch.ts
@@ -8,7 +8,7 @@
 import type {CellLoad, LoadSource, ServerObservation} from './led-cell.js';
 
 /** The load of one cell, by its leader's own observation, smoothed. */
-export interface LoadWatch {
+export interface LoadMonitor {
   /** Reads a new period where the last one is over; null where it isn't. */
   read(slotsOf: (server: string) => number | null): CellLoad | null;
   /** Slots that the shard keeps busy. */
@@ -16,7 +16,7 @@
   /** Slots that the server proved able to keep busy. */
   capacityOf(server: string, slots: number): number;
   /** What was last seen of a server. */
-  seen(server: string): ServerObservation | undefined;
+  lastObservation(server: string): ServerObservation | undefined;
 }
 
 const PERIOD_MS = 1000;
@@ -30,11 +30,11 @@
  * if (load !== null) plan(load);
  * ```
  */
-export function createLoadWatch(
+export function createLoadMonitor(
   cell: CellId,
   source: LoadSource,
   clock: Clock,
-): LoadWatch {
+): LoadMonitor {
   const smooth = createSmoothLoads();
   const estimates = new Map<string, CapacityEstimate>();
   const capacities = new Map<string, number>();
@@ -74,6 +74,6 @@
     busyOf: smooth.get,
     capacityOf: (server, slots) =>
       Math.min(slots, capacities.get(server) ?? slots),
-    seen: server => servers.get(server),
+    lastObservation: server => servers.get(server),
   };
 }
--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -12,14 +12,14 @@
 import {examineLeader} from './standby-watch.js';
 
 /** What the watch of cells without a role in them works with. */
-export interface OrphanWatchOptions {
+export interface BackupWatchOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly claimer: Claimer;
 }
 
 /** How many routers watch a cell beside its leader and its standby. */
-const WATCHERS = 2;
+const MAX_WATCHERS = 2;
 
 /**
  * Tells the leaders that this process watches as a third router; looks
@@ -32,7 +32,7 @@
  * ```
  */
 export function createWatchedLeaders(
-  options: OrphanWatchOptions,
+  options: BackupWatchOptions,
 ): () => readonly Incarnation[] {
   const {ctx, membership} = options;
   const leadersOf = createMemo((views: ClusterState['views'], ring: Ring) =>
@@ -48,8 +48,8 @@
  * claims those whose leader *and* standby are lost; until the signal aborts.
  * A leader that is lost alone is its standby's affair.
  */
-export async function runOrphanWatch(
-  options: OrphanWatchOptions,
+export async function runBackupWatch(
+  options: BackupWatchOptions,
   leader: Incarnation,
   signal: AbortSignal,
 ): Promise<void> {
@@ -58,7 +58,7 @@
   let lostSince: number | null = null;
   while (!signal.aborted) {
     await sleep(clock, timing.watchMs, signal);
-    const proof = await lookFor(ctx, leader);
+    const proof = await checkLeader(ctx, leader);
     if (signal.aborted) return;
     if (proof === 'there' || proof === 'paused') {
       lostSince = null;
@@ -66,16 +66,16 @@
     }
     lostSince ??= clock.now();
     const lostFor = clock.now() - lostSince;
-    const due = dueViews(options, leader, lostFor, proof === 'gone');
+    const due = viewsDueForClaim(options, leader, lostFor, proof === 'gone');
     const plans = await Promise.all(
-      due.map(view => planRescue(options, view, proof === 'gone')),
+      due.map(view => planClaim(options, view, proof === 'gone')),
     );
     const wanted = plans.filter(plan => plan !== null);
     if (wanted.length > 0 && !signal.aborted) await claimer.claim(wanted);
   }
 }
 
-async function lookFor(
+async function checkLeader(
   ctx: OwnershipContext,
   leader: Incarnation,
 ): ReturnType<typeof examineLeader> {
@@ -87,8 +87,8 @@
 }
 
 /** Views whose turn has come for this router by its rank. */
-function dueViews(
-  options: OrphanWatchOptions,
+function viewsDueForClaim(
+  options: BackupWatchOptions,
   leader: Incarnation,
   lostForMs: number,
   isLeaderGone: boolean,
@@ -109,13 +109,13 @@
   });
 }
 
-async function planRescue(
-  options: OrphanWatchOptions,
+async function planClaim(
+  options: BackupWatchOptions,
   view: View,
   isLeaderGone: boolean,
 ): Promise<ClaimPlan | null> {
   const {ctx, membership} = options;
-  const standbyState = await examineStandby(ctx, view);
+  const standbyState = await checkStandby(ctx, view);
   if (standbyState === 'serving') return null;
   const isProved = isLeaderGone || standbyState === 'over';
   if (!isProved && !checksFences(ctx, view)) {
@@ -126,7 +126,8 @@
     });
     return null;
   }
-  if (!isLeaderGone && !(await isConnected(options, view))) return null;
+  if (!isLeaderGone && !(await reachesHalfOfRouters(options, view)))
+    return null;
   const standby = await membership.findStandby(view.cell, view.leader);
   return {
     claim: {
@@ -148,7 +149,7 @@
  */
 type StandbyState = 'serving' | 'over' | 'silent';
 
-async function examineStandby(
+async function checkStandby(
   ctx: OwnershipContext,
   view: View,
 ): Promise<StandbyState> {
@@ -174,8 +175,8 @@
  * is cut off from everybody but the log would else claim cells whose leaders
  * are well.
  */
-async function isConnected(
-  {membership}: OrphanWatchOptions,
+async function reachesHalfOfRouters(
+  {membership}: BackupWatchOptions,
   {leader, standby}: View,
 ): Promise<boolean> {
   const others = membership
@@ -199,21 +200,21 @@
   const hasRole = ({host}: RouterHost): boolean =>
     host === view.leader.host || host === view.standby?.host;
   const isOther = (router: RouterHost): boolean => !hasRole(router);
-  const order = [...pickFromRing(view.cell, ring, WATCHERS, isOther)];
+  const order = [...pickFromRing(view.cell, ring, MAX_WATCHERS, isOther)];
   // A host with a role comes last: it may be lost, or back as another run.
   // Looking for one goes round the whole ring, so only where it is needed.
-  if (order.length < WATCHERS) {
-    order.push(...pickFromRing(view.cell, ring, WATCHERS, hasRole));
+  if (order.length < MAX_WATCHERS) {
+    order.push(...pickFromRing(view.cell, ring, MAX_WATCHERS, hasRole));
   }
   const rank = order.findIndex(({host}) => host === self.host);
-  if (rank >= 0 && rank < WATCHERS) return rank;
+  if (rank >= 0 && rank < MAX_WATCHERS) return rank;
   // Back as another run at the address of the leader or the standby, this
   // process needs no message to know that the old one is over. It comes last,
   // for the others may be lost as well.
   const isBack = [view.leader, view.standby].some(
     run => run?.address === self.address,
   );
-  return isBack ? WATCHERS : null;
+  return isBack ? MAX_WATCHERS : null;
 }
 
 function checksFences(ctx: OwnershipContext, {cell}: View): boolean {
--- a/packages/ownership/src/pauses.ts
+++ b/packages/ownership/src/pauses.ts
@@ -4,11 +4,11 @@
 /** Notices that this process itself stood still. */
 export interface PauseDetector {
   /** When the newest pause ended; `-Infinity` before the first. */
-  awakeSince(): number;
+  resumedAt(): number;
 }
 
-const BEAT_MS = 100;
-const PAUSE_MS = 250;
+const CHECK_INTERVAL_MS = 100;
+const PAUSE_THRESHOLD_MS = 250;
 
 /**
  * Watches for pauses of this process. After one, timers run before the
@@ -30,20 +30,20 @@
   // Also called by whoever asks: its timer may run before the next beat.
   const beat = (): void => {
     const now = clock.now();
-    if (now - lastBeat > PAUSE_MS) awakeSince = now;
+    if (now - lastBeat > PAUSE_THRESHOLD_MS) awakeSince = now;
     lastBeat = now;
   };
 
   const run = async (): Promise<void> => {
     while (!signal.aborted) {
       beat();
-      await sleep(clock, BEAT_MS, signal);
+      await sleep(clock, CHECK_INTERVAL_MS, signal);
     }
   };
   void run();
 
   return {
-    awakeSince() {
+    resumedAt() {
       beat();
       return awakeSince;
     },
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -12,11 +12,11 @@
   grantShard,
   handOver,
 } from './handover.js';
-import {createHotShards} from './hot-shards.js';
-import {type HotPair, mergeKey, splitKey} from './hot-split.js';
+import {createHotKeyTracker} from './hot-shards.js';
+import {type HotKeySplit, mergeKey, splitKey} from './hot-split.js';
 import type {CellLoad} from './led-cell.js';
 import type {LeaseRegistry} from './lease-registry.js';
-import type {LoadWatch} from './load-watch.js';
+import type {LoadMonitor} from './load-watch.js';
 import {createPlanInput} from './plan-input.js';
 import type {Slot} from './shard-table.js';
 
@@ -24,12 +24,12 @@
   readonly authority: Authority;
   readonly registry: LeaseRegistry;
   readonly store: StateStore;
-  readonly watch: LoadWatch;
+  readonly loadMonitor: LoadMonitor;
   readonly log: Logger;
   /** Announces that something may have to be placed. */
-  readonly wake: Condition;
+  readonly changed: Condition;
   /** When every order of a former leader has lapsed. */
-  readonly foreignUntil: () => number;
+  readonly formerLeaseExpiry: () => number;
   /** Another planner, for experiments. */
   readonly createPlanner?: () => Planner;
 }
@@ -42,16 +42,16 @@
   warmUntil(): number;
 }
 
-const TICK_MS = 500;
+const MAX_WAIT_MS = 500;
 
 /** Moves for balance are planned this often. */
-const BALANCE_MS = 2000;
+const BALANCE_INTERVAL_MS = 2000;
 
 /** Handovers at once: each stops one shard for a moment. */
 const MAX_HANDOVERS = 8;
 
 /** Servers whose lease comes up this soon after the leader count as its first. */
-const WARM_MS = 3000;
+const WARM_START_MS = 3000;
 
 /**
  * Makes the placer of one cell.
@@ -62,9 +62,18 @@
  * ```
  */
 export function createPlacer(options: PlacerOptions): Placer {
-  const {map, registry, tasks, clock, signal, log, watch, locator} = options;
+  const {
+    map,
+    registry,
+    tasks,
+    clock,
+    signal,
+    log,
+    loadMonitor: watch,
+    locator,
+  } = options;
   const {cell} = options.authority;
-  const hotShards = createHotShards(map);
+  const hotShards = createHotKeyTracker(map);
   const planner = (options.createPlanner ?? createPlanner)();
   const running = new Set<Promise<void>>();
   let handovers = 0;
@@ -72,7 +81,7 @@
   let warmUntil = Infinity;
 
   const run = async (): Promise<void> => {
-    warmUntil = clock.now() + WARM_MS;
+    warmUntil = clock.now() + WARM_START_MS;
     while (!signal.aborted) {
       registry.refresh();
       reclaimLapsed();
@@ -82,7 +91,7 @@
       markStuck(input);
       if (load !== null) adjustHotKeys(load, input);
       locator.settle();
-      await options.wake.wait(untilNextLapse(), signal);
+      await options.changed.wait(untilNextLapse(), signal);
     }
     await Promise.all(running);
   };
@@ -98,7 +107,8 @@
     });
 
   const plan = (input: PlanInput): readonly Move[] => {
-    if (clock.now() - balancedAt < BALANCE_MS) return planForcedMoves(input);
+    if (clock.now() - balancedAt < BALANCE_INTERVAL_MS)
+      return planForcedMoves(input);
     balancedAt = clock.now();
     return planner.plan(input);
   };
@@ -118,15 +128,16 @@
     const task = tasks.get(server);
     // Taken over with the table, but not with the server: it wasn't in the
     // inventory, or had another address. Only the former leader's orders count.
-    if (!task?.wanted().has(slot.shard)) return options.foreignUntil() <= now;
+    if (!task?.assigned().has(slot.shard))
+      return options.formerLeaseExpiry() <= now;
     if (task.health() === 'ok') return false;
     return task.mayHoldUntil(slot.shard) <= now;
   };
 
   const untilNextLapse = (): number => {
     const now = clock.now();
-    let next = now + TICK_MS;
-    const foreign = options.foreignUntil();
+    let next = now + MAX_WAIT_MS;
+    const foreign = options.formerLeaseExpiry();
     if (foreign > now) next = Math.min(next, foreign);
     for (const task of tasks.values()) {
       if (task.health() === 'ok') continue;
@@ -145,7 +156,7 @@
 
   const startHandover = (slot: Slot, to: string, reason: string): void => {
     const from = slot.server === null ? undefined : tasks.get(slot.server);
-    const mustGo = from !== undefined && registry.leaving(from) !== null;
+    const mustGo = from !== undefined && registry.leavingReason(from) !== null;
     if (!mustGo && clock.now() < slot.stayUntil) return;
     if (handovers >= MAX_HANDOVERS) return;
     handovers++;
@@ -167,7 +178,7 @@
     };
     const cancel = clock.after(PATIENCE_MS, () => {
       uncount();
-      options.wake.notify();
+      options.changed.notify();
     });
     return moved.finally(() => {
       cancel();
@@ -180,7 +191,7 @@
     const now = clock.now();
     const total = candidates.reduce((sum, c) => sum + c.capacity, 0);
     const capacity = total / candidates.length;
-    const changes = hotShards.note(load.hotKeys, capacity, watch.busyOf, now);
+    const changes = hotShards.update(load.hotKeys, capacity, watch.busyOf, now);
     for (const pair of changes.split) {
       log.info('splitting a hot key off', {cell, shard: pair.hot.shard});
       start([pair.hot, pair.range], splitKey(options, pair));
@@ -188,7 +199,7 @@
     for (const pair of changes.merge) mergeBack(pair);
   };
 
-  const mergeBack = (pair: HotPair): void => {
+  const mergeBack = (pair: HotKeySplit): void => {
     const {hot, range} = pair;
     if (hot.busy || range.busy) return;
     if (hot.server === range.server) {
@@ -208,7 +219,7 @@
       .finally(() => {
         for (const slot of slots) slot.busy = false;
         running.delete(ended);
-        options.wake.notify();
+        options.changed.notify();
       });
     running.add(ended);
   };
--- a/packages/ownership/src/plan-input.ts
+++ b/packages/ownership/src/plan-input.ts
@@ -6,13 +6,13 @@
 import type {PlacementWeights} from '@banyandrum/config/rules.js';
 import type {LeaseRegistry} from './lease-registry.js';
 import type {LeaseTask} from './lease-task.js';
-import type {LoadWatch} from './load-watch.js';
+import type {LoadMonitor} from './load-watch.js';
 import type {ShardMap, Slot} from './shard-table.js';
 
 export interface PlanInputOptions {
   readonly map: ShardMap;
   readonly registry: LeaseRegistry;
-  readonly loads: LoadWatch;
+  readonly loads: LoadMonitor;
   readonly weights: PlacementWeights;
   readonly now: number;
   /** Servers that got their lease before this time start warm. */
@@ -20,7 +20,7 @@
 }
 
 /** Slow start of a server that came later: from this share up to all. */
-const FIRST_READINESS = 0.25;
+const INITIAL_READINESS = 0.25;
 const SLOW_START_MS = 30_000;
 
 /** A server that says it is cold is given no more than this share. */
@@ -54,14 +54,14 @@
   task: LeaseTask,
 ): number {
   const {registry, now, warmUntil} = options;
-  if (registry.leaving(task) !== null) return 0;
+  if (registry.leavingReason(task) !== null) return 0;
   const since = task.firstGrantAt();
   if (since === null) return 0;
   const isCold = registry.probe(task)?.last()?.health === 'cold';
   const most = isCold ? COLD_READINESS : 1;
   if (since <= warmUntil) return most;
   const share = Math.min(1, (now - since) / SLOW_START_MS);
-  return Math.min(most, FIRST_READINESS + (1 - FIRST_READINESS) * share);
+  return Math.min(most, INITIAL_READINESS + (1 - INITIAL_READINESS) * share);
 }
 
 /** Only a server whose lease is in force can be given anything. */
@@ -73,7 +73,7 @@
   if (task.health() !== 'ok' || grant === null) return null;
   if (grant.leaseEnd <= options.now) return null;
   const {name, slots} = task.server;
-  const seen = options.loads.seen(name);
+  const seen = options.loads.lastObservation(name);
   return {
     name,
     slots,
@@ -106,5 +106,5 @@
   if (slot.server === null) return true;
   const task = options.registry.tasks.get(slot.server);
   if (task === undefined || task.health() !== 'ok') return false;
-  return task.foreignUntil() <= options.now;
+  return task.formerLeaseExpiry() <= options.now;
 }
--- a/packages/ownership/src/rebalance.ts
+++ b/packages/ownership/src/rebalance.ts
@@ -17,7 +17,7 @@
 }
 
 /** A router must lead this many cells more than another to give one away. */
-const UNEVEN_BY = 2;
+const MIN_DIFFERENCE = 2;
 
 /**
  * Evens leadership out, until everything ends: a router that leads clearly
@@ -31,21 +31,21 @@
     // Apart from the others', which would else all choose the same router.
     const pauseMs = timing.rebalanceMs * (0.5 + ctx.random());
     await sleep(clock, pauseMs, signal);
-    if (!signal.aborted) await moveOne(options);
+    if (!signal.aborted) await transferOneCell(options);
   }
 }
 
-async function moveOne(options: TransferOptions): Promise<void> {
+async function transferOneCell(options: TransferOptions): Promise<void> {
   const {ctx, membership, leadership} = options;
-  const counts = countLed(ctx.store.current());
+  const counts = countLedCells(ctx.store.current());
   const countOf = ({host}: {readonly host: string}): number =>
     counts.get(host) ?? 0;
   const [least] = [...membership.others()].sort(
     (a, b) => countOf(a) - countOf(b) || (a.host < b.host ? -1 : 1),
   );
-  if (!least || countOf(ctx.self) < countOf(least) + UNEVEN_BY) return;
+  if (!least || countOf(ctx.self) < countOf(least) + MIN_DIFFERENCE) return;
   const movable = leadership.tenures().filter(tenure => tenure.isCleared());
-  const tenure = bestFor(least, movable);
+  const tenure = preferredTenure(least, movable);
   if (tenure) await transfer(options, tenure, least);
 }
 
@@ -83,7 +83,7 @@
   if (outcome === 'not-appended') tenure.holder.regainConsent(previous);
 }
 
-function bestFor(
+function preferredTenure(
   target: RouterHost,
   tenures: readonly Tenure[],
 ): Tenure | undefined {
@@ -92,7 +92,7 @@
   return [...tenures].sort((a, b) => weight(b) - weight(a))[0];
 }
 
-function countLed(state: ClusterState): ReadonlyMap<string, number> {
+function countLedCells(state: ClusterState): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const {leader} of state.views.values()) {
     counts.set(leader.host, (counts.get(leader.host) ?? 0) + 1);
--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -62,7 +62,7 @@
     // it had received before.
     const clearedAt = clock.now();
     foreignUntil = clearedAt + ttlMs + marginMs;
-    registry.limitForeign({clearedAt, until: foreignUntil});
+    registry.limitFormerLeases({clearedAt, expiresAt: foreignUntil});
   };
 
   const takeOver = async (table: ShardTable): Promise<void> => {
@@ -74,7 +74,7 @@
         task.add(shardsOf(map, task.server.name));
       }
     }
-    registry.runChecking();
+    registry.runFenceChecking();
     options.locator.start();
     record();
     await untilAborted(inheritance.cleared, signal);
@@ -134,7 +134,7 @@
     }
     if (slot.server === name) return;
     disputed.add(shard);
-    registry.tasks.get(slot.server)?.drop([shard]);
+    registry.tasks.get(slot.server)?.remove([shard]);
     slot.state = 'free';
     slot.server = null;
     slot.reason = 'two servers reported it';
--- a/packages/ownership/src/run-ownership.ts
+++ b/packages/ownership/src/run-ownership.ts
@@ -19,17 +19,17 @@
 import type {LedCell} from './led-cell.js';
 import type {LiveHosts} from './membership.js';
 import {createMembership} from './membership.js';
-import {createWatchedLeaders, runOrphanWatch} from './orphan-watch.js';
+import {createWatchedLeaders, runBackupWatch} from './orphan-watch.js';
 import {createPauseDetector} from './pauses.js';
 import {createPeerTasks} from './peer-tasks.js';
 import {runRebalance} from './rebalance.js';
-import {createReachWatch} from './reach-watch.js';
+import {createReachabilityMonitor} from './reach-watch.js';
 import {createStandby} from './standby.js';
 import {createStandbyKeeper} from './standby-keeper.js';
 import {runStandbyWatch} from './standby-watch.js';
 import {runTakeover} from './takeover.js';
 import type {AuthorityTiming} from './timing.js';
-import {createUnreached} from './unreached.js';
+import {createUnreachableHandler} from './unreached.js';
 import {viewsBackedBy} from './views.js';
 
 export interface OwnershipOptions {
@@ -96,10 +96,10 @@
   const claimer = createClaimer(ctx);
   const leadership = createLeadership(ctx, claimer, options.startCell);
   const catchUp = createCatchUp({...ctx, hosts: options.hosts});
-  const reach = createReachWatch(ctx);
+  const reach = createReachabilityMonitor(ctx);
   const standby = createStandby(ctx, {
     isLeaving: () => !membership.isWelcome(self.host),
-    isUnreached: reach.isUnreached,
+    isUnreached: reach.isUnreachable,
     onWithdrawn: withdrawn.notify,
     onNewerEpoch: catchUp.pull,
   });
@@ -112,7 +112,12 @@
     changed,
   );
   const {doubt} = keeper;
-  const noteUnreached = createUnreached({ctx, membership, leadership, doubt});
+  const noteUnreached = createUnreachableHandler({
+    ctx,
+    membership,
+    leadership,
+    doubt,
+  });
   const consent = {ctx, membership, leadership, doubt, noteUnreached};
   const asking = createPeerTasks((peer, ended) =>
     runConsent(consent, peer, ended),
@@ -124,7 +129,7 @@
   const orphans = {ctx, membership, claimer};
   const watchedLeaders = createWatchedLeaders(orphans);
   const watched = createPeerTasks((peer, ended) =>
-    runOrphanWatch(orphans, peer, ended),
+    runBackupWatch(orphans, peer, ended),
   );
 
   const reconcile = (): void => {
--- a/packages/ownership/src/standby-watch.ts
+++ b/packages/ownership/src/standby-watch.ts
@@ -58,7 +58,7 @@
   const startedAt = ctx.clock.now();
   const res = await ctx.peers.probe(leader.address, ctx.timing.answerMs);
   if (res.ok) return sameIncarnation(res.val, leader) ? 'there' : 'gone';
-  return ctx.pauses.awakeSince() > startedAt ? 'paused' : 'silent';
+  return ctx.pauses.resumedAt() > startedAt ? 'paused' : 'silent';
 }
 
 /** When to look again: when the leader would have been silent too long. */
@@ -113,6 +113,6 @@
 
 /** How long a leader has not asked; our own pauses don't count, in ms. */
 export function silentFor(ctx: OwnershipContext, role: Backing): number {
-  const heardAt = Math.max(role.heardAt, ctx.pauses.awakeSince());
+  const heardAt = Math.max(role.heardAt, ctx.pauses.resumedAt());
   return ctx.clock.now() - heardAt;
 }
--- a/packages/ownership/src/unreached.ts
+++ b/packages/ownership/src/unreached.ts
@@ -4,7 +4,7 @@
 import type {Membership} from './membership.js';
 import {resignCells} from './resignation.js';
 
-export interface UnreachedOptions {
+export interface UnreachableHandlerOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly leadership: Leadership;
@@ -12,14 +12,14 @@
 }
 
 /** Told that a standby's new connections to this leader get no answer. */
-export type NoteUnreached = (
+export type UnreachableHandler = (
   standby: Incarnation,
   tenures: readonly Tenure[],
 ) => void;
 
-const WITNESSES = 3;
+const MAX_ROUTERS_ASKED = 3;
 
-type Testimony = 'reached' | 'unreached' | 'unknown';
+type Reachability = 'reached' | 'unreached' | 'unknown';
 
 /**
  * Acts on a standby's word that it cannot reach this leader. Other routers
@@ -33,7 +33,9 @@
  * if (answer.unreached) noteUnreached(standby, tenures);
  * ```
  */
-export function createUnreached(options: UnreachedOptions): NoteUnreached {
+export function createUnreachableHandler(
+  options: UnreachableHandlerOptions,
+): UnreachableHandler {
   const {ctx, leadership, doubt} = options;
   let asking = false;
 
@@ -41,7 +43,7 @@
     standby: Incarnation,
     tenures: readonly Tenure[],
   ): Promise<void> => {
-    const testimony = await askWitnesses(options, standby);
+    const testimony = await askOtherRouters(options, standby);
     if (testimony === 'unknown') return;
     if (testimony === 'reached') return doubt(tenures, 'cannot reach us');
     const ready = tenures.filter(({holder}) => !holder.hasOpenClaim());
@@ -58,18 +60,18 @@
   };
 }
 
-async function askWitnesses(
-  {ctx, membership}: UnreachedOptions,
+async function askOtherRouters(
+  {ctx, membership}: UnreachableHandlerOptions,
   standby: Incarnation,
-): Promise<Testimony> {
+): Promise<Reachability> {
   const others = membership
     .others()
     .filter(({host}) => host !== standby.host)
     .map(router => ({router, order: ctx.random()}))
     .sort((a, b) => a.order - b.order)
-    .slice(0, WITNESSES);
+    .slice(0, MAX_ROUTERS_ASKED);
   const said = await Promise.all(
-    others.map(async ({router}): Promise<Testimony> => {
+    others.map(async ({router}): Promise<Reachability> => {
       const found = await membership.find(router);
       if (found === null) return 'unknown';
       const {answerMs} = ctx.timing;
--- a/packages/ownership/test/authority.test.ts
+++ b/packages/ownership/test/authority.test.ts
@@ -133,7 +133,7 @@
     peers: {} as OwnershipContext['peers'],
     log: createSilentLogger(),
     timing: deriveTiming(EMPTY_STATE.rules.timing),
-    pauses: {awakeSince: () => -Infinity},
+    pauses: {resumedAt: () => -Infinity},
     random: () => 0.5,
     signal: new AbortController().signal,
   };
--- a/packages/ownership/test/cell-leader.test.ts
+++ b/packages/ownership/test/cell-leader.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import {
   type Fixture,
-  FOREIGN_MS,
+  FORMER_LEASES_MS,
   SHARDS,
   createFixture,
   createLoad,
@@ -24,8 +24,8 @@
   void tap.test(`${kind}: a new cell spreads its shards`, async t => {
     const paceOf = (name: string): number => (name === 'a' ? 1.01 : 0.99);
     const fixture = createFixture({checksFences, paceOf});
-    const led = fixture.lead();
-    await fixture.advance(FOREIGN_MS + 20);
+    const led = fixture.startLeader();
+    await fixture.advance(FORMER_LEASES_MS + 20);
     const owners = led.owners();
     t.equal(owners.size, SHARDS);
     for (const name of ['a', 'b', 'c']) {
@@ -36,18 +36,18 @@
         [...led.shardsOf(name)].sort(),
       );
     }
-    t.equal(led.where(keyOf(3)), owners.get('3'));
+    t.equal(led.locationOf(keyOf(3)), owners.get('3'));
     await fixture.advance(10_000);
     t.same(led.owners(), owners, 'nothing moves by itself');
     t.same([...fixture.violations], []);
     await fixture.stop(led);
-    t.equal(led.where(keyOf(3)), 'unowned');
+    t.equal(led.locationOf(keyOf(3)), 'unowned');
   });
 
   void tap.test(`${kind}: a drained server is emptied`, async t => {
     const fixture = createFixture({checksFences});
     fixture.drainMs = 100;
-    const led = fixture.lead();
+    const led = fixture.startLeader();
     await fixture.advance(5000);
     const before = led.owners();
     fixture.drains.add('a');
@@ -83,7 +83,7 @@
   };
   for (const [sign, give] of Object.entries(signs)) {
     const fixture = createFixture();
-    const led = fixture.lead();
+    const led = fixture.startLeader();
     await fixture.advance(5000);
     t.equal(led.shardsOf('a').length, SHARDS / 3);
     give(fixture);
@@ -98,7 +98,7 @@
 // stay where they are: nobody else could take them.
 void tap.test('a server that leaves keeps what nobody can take', async t => {
   const fixture = createFixture({names: ['a']});
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(5000);
   fixture.drains.add('a');
   await fixture.advance(5000);
@@ -108,7 +108,7 @@
 
 void tap.test('a server that joins gets shards, more as it warms', async t => {
   const fixture = createFixture({names: ['a', 'b']});
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(40_000);
   fixture.fakes.add('c');
   fixture.servers = [...fixture.servers, toServer('c')];
@@ -127,7 +127,7 @@
 // asks for it any more, and it becomes part of its hash range again.
 void tap.test('a hot key is split off and merged back', async t => {
   const fixture = createFixture();
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(40_000);
   const key = keyAt(fixture, led.owners());
   fixture.load = createLoad([{key, rate: 100, busy: 3}]);
@@ -136,7 +136,7 @@
   t.equal(location.shard, `k:${key}`);
   t.equal(led.owners().size, SHARDS + 1);
   await fixture.advance(20_000);
-  t.equal(led.where(key), 'a', 'the hot key stays');
+  t.equal(led.locationOf(key), 'a', 'the hot key stays');
   t.ok(led.shardsOf('a').length < SHARDS / 3, 'its neighbours go');
   t.ok(led.recorded()?.entries.some(entry => entry.shard === `k:${key}`));
   fixture.load = createLoad();
@@ -157,7 +157,7 @@
   // peace, its shards stay with it until then, and newcomers wait.
   for (const checksFences of [true, false]) {
     const fixture = createFixture({names: ['a'], checksFences});
-    const led = fixture.lead();
+    const led = fixture.startLeader();
     await fixture.advance(40_000);
     fixture.drainMs = 5000;
     fixture.fakes.add('c');
@@ -192,7 +192,7 @@
 // two servers.
 void tap.test('a split waits for requests in flight', async t => {
   const fixture = createFixture();
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(4000);
   const key = keyAt(fixture, led.owners());
   const {shard} = led.leader.led.locate(key);
@@ -200,8 +200,8 @@
   fixture.load = createLoad([{key, rate: 100, busy: 3}]);
   while (!led.gateClosed.has(shard)) await fixture.advance(20);
   const closedAt = fixture.clock.now();
-  t.equal(led.where(key), 'moving');
-  while (led.where(key) !== 'a') await fixture.advance(20);
+  t.equal(led.locationOf(key), 'moving');
+  while (led.locationOf(key) !== 'a') await fixture.advance(20);
   t.equal(led.leader.led.locate(key).shard, `k:${key}`);
   t.ok(fixture.clock.now() - closedAt >= 280);
   t.same([...led.gateClosed], []);
--- a/packages/ownership/test/lease-faults.test.ts
+++ b/packages/ownership/test/lease-faults.test.ts
@@ -2,8 +2,8 @@
 import type {Test} from 'tap';
 import {
   type Fixture,
-  type Led,
-  FOREIGN_MS,
+  type TestLeader,
+  FORMER_LEASES_MS,
   SHARDS,
   createFixture,
   createLoad,
@@ -14,23 +14,23 @@
 const CELL = 'holds/0';
 const KINDS = [true, false];
 
-interface Running {
+interface RunningCluster {
   readonly fixture: Fixture;
-  readonly led: Led;
+  readonly leader: TestLeader;
   /** A key of server a. */
   readonly key: string;
 }
 
-async function start(checksFences: boolean): Promise<Running> {
+async function startCluster(checksFences: boolean): Promise<RunningCluster> {
   const fixture = createFixture({checksFences});
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(5000);
-  return {fixture, led, key: keyOf(Number(led.shardsOf('a')[0]))};
+  return {fixture, leader: led, key: keyOf(Number(led.shardsOf('a')[0]))};
 }
 
 /** Waits for something; yields how long it took, in ms. */
-async function until(
-  {fixture}: Pick<Running, 'fixture'>,
+async function waitUntil(
+  {fixture}: Pick<RunningCluster, 'fixture'>,
   happened: () => boolean,
 ): Promise<number> {
   const since = fixture.clock.now();
@@ -41,7 +41,11 @@
   return fixture.clock.now() - since;
 }
 
-async function finish(t: Test, fixture: Fixture, led: Led): Promise<void> {
+async function verifyAndStop(
+  t: Test,
+  fixture: Fixture,
+  led: TestLeader,
+): Promise<void> {
   t.same([...fixture.violations], []);
   await fixture.stop(led);
 }
@@ -51,18 +55,18 @@
 // key of the other servers moves.
 void tap.test('server lost', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     const before = led.owners();
     fixture.fakes.get('a').fate = () => ({lost: true});
-    await until({fixture}, () => led.where(key) !== 'a');
-    t.equal(led.where(key), 'moving');
-    const took = await until({fixture}, () => led.owners().size === SHARDS);
+    await waitUntil({fixture}, () => led.locationOf(key) !== 'a');
+    t.equal(led.locationOf(key), 'moving');
+    const took = await waitUntil({fixture}, () => led.owners().size === SHARDS);
     t.ok(took < 1200, `granted ${took} ms after dispatch stopped`);
     for (const [shard, name] of led.owners()) {
       if (before.get(shard) !== 'a') t.equal(name, before.get(shard));
       else t.not(name, 'a');
     }
-    await finish(t, fixture, led);
+    await verifyAndStop(t, fixture, led);
   }
 });
 
@@ -71,19 +75,19 @@
 // it finds echoes a reading that is too old.
 void tap.test('server frozen for 10 s and back', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     const server = fixture.fakes.get('a');
     server.frozen = true;
     await fixture.advance(10_000);
-    const owner = led.where(key);
+    const owner = led.locationOf(key);
     t.not(owner, 'a');
     t.not(owner, 'moving');
     const obeyed = server.obeyed.length;
     server.thaw();
     t.equal(server.obeyed.length, obeyed, 'nothing late is obeyed');
     await fixture.advance(3000);
-    t.equal(led.where(key), owner);
-    await finish(t, fixture, led);
+    t.equal(led.locationOf(key), owner);
+    await verifyAndStop(t, fixture, led);
   }
 });
 
@@ -91,18 +95,18 @@
 // keeps its keys.
 void tap.test('server back before its lease lapses', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     const before = led.owners();
     const server = fixture.fakes.get('a');
     server.fate = () => ({lost: true});
     for (let waited = 0; waited < 900; waited += 20) {
       await fixture.advance(20);
-      t.equal(led.where(key), 'a');
+      t.equal(led.locationOf(key), 'a');
     }
     server.fate = () => ({});
     await fixture.advance(3000);
     t.same(led.owners(), before);
-    await finish(t, fixture, led);
+    await verifyAndStop(t, fixture, led);
   }
 });
 
@@ -110,12 +114,12 @@
 // renewal, not for a lapse: the new boot id proves that the old run is gone.
 void tap.test('server restarted', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     const before = led.owners();
     const server = fixture.fakes.get('a');
     const fence = led.leader.led.locate(key);
     server.restart();
-    const took = await until(
+    const took = await waitUntil(
       {fixture},
       () => server.belief(CELL)?.shards.length === SHARDS / 3,
     );
@@ -125,7 +129,7 @@
     const now = led.leader.led.locate(key);
     t.equal(now.kind === 'owned' && now.toServerTime(0).boot, boot);
     t.notSame(fence, now);
-    await finish(t, fixture, led);
+    await verifyAndStop(t, fixture, led);
   }
 });
 
@@ -141,7 +145,7 @@
   };
   for (const [fault, fate] of Object.entries(fates)) {
     for (const checksFences of KINDS) {
-      const {fixture, led} = await start(checksFences);
+      const {fixture, leader: led} = await startCluster(checksFences);
       let faults = 0;
       const server = fixture.fakes.get('a');
       server.fate = order => {
@@ -150,12 +154,12 @@
         return fate;
       };
       fixture.drains.add('a');
-      await until({fixture}, () => led.owners().size < SHARDS);
-      await until({fixture}, () => led.owners().size === SHARDS);
+      await waitUntil({fixture}, () => led.owners().size < SHARDS);
+      await waitUntil({fixture}, () => led.owners().size === SHARDS);
       t.equal(faults, 1, fault);
       await fixture.advance(3000);
       t.same(led.shardsOf('a'), []);
-      await finish(t, fixture, led);
+      await verifyAndStop(t, fixture, led);
     }
   }
 });
@@ -166,21 +170,24 @@
 // granted elsewhere only after that belief has lapsed.
 void tap.test('renewal delivered after the release', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     const server = fixture.fakes.get('a');
     let delayed = 0;
     server.fate = () => (delayed++ === 0 ? {delayMs: 900} : {});
-    await until({fixture}, () => delayed > 0);
+    await waitUntil({fixture}, () => delayed > 0);
     fixture.drains.add('a');
     const since = fixture.clock.now();
-    await until({fixture}, () => led.where(key) !== 'a');
-    await until({fixture}, () => !['moving', 'a'].includes(led.where(key)));
+    await waitUntil({fixture}, () => led.locationOf(key) !== 'a');
+    await waitUntil(
+      {fixture},
+      () => !['moving', 'a'].includes(led.locationOf(key)),
+    );
     const took = fixture.clock.now() - since;
     if (checksFences) t.ok(took < 900, `at once: ${took} ms`);
     else t.ok(took > 1000, `only after the late order: ${took} ms`);
     const late = server.obeyed.filter(order => order.shards.length > 0);
     t.ok(late.length > 0);
-    await finish(t, fixture, led);
+    await verifyAndStop(t, fixture, led);
   }
 });
 
@@ -189,22 +196,22 @@
 // What it sends to servers echoes readings that are too old.
 void tap.test('leader paused for 10 s', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     const before = led.owners();
     led.process.pause();
     led.authority.until = fixture.clock.now() + 1000;
     await fixture.advance(1100);
-    const next = fixture.lead({epoch: 2, table: led.recorded()});
+    const next = fixture.startLeader({epoch: 2, table: led.recorded()});
     await fixture.advance(500);
     t.same(next.owners(), before);
     await fixture.advance(8400);
     led.process.resume();
     t.equal(led.leader.led.mayAct(), false);
     await fixture.advance(5000);
-    t.equal(next.where(key), 'a');
+    t.equal(next.locationOf(key), 'a');
     t.same(next.owners(), before);
     await fixture.stop(led);
-    await finish(t, fixture, next);
+    await verifyAndStop(t, fixture, next);
   }
 });
 
@@ -214,13 +221,17 @@
 // move before that, although a server is lost meanwhile.
 void tap.test('takeover before the old leader is over', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led} = await start(checksFences);
+    const {fixture, leader: led} = await startCluster(checksFences);
     const before = led.owners();
     let clear: () => void = () => {};
     const cleared = new Promise<void>(resolve => (clear = resolve));
     led.authority.records = false;
     fixture.fakes.get('a').fate = () => ({lost: true});
-    const next = fixture.lead({epoch: 2, table: led.recorded(), cleared});
+    const next = fixture.startLeader({
+      epoch: 2,
+      table: led.recorded(),
+      cleared,
+    });
     await fixture.advance(3000);
     const early = checksFences ? (2 * SHARDS) / 3 : 0;
     t.equal(next.owners().size, early);
@@ -231,12 +242,12 @@
     clear();
     await fixture.advance(100);
     t.equal(next.owners().size, (2 * SHARDS) / 3);
-    await fixture.advance(FOREIGN_MS - 200);
+    await fixture.advance(FORMER_LEASES_MS - 200);
     t.equal(next.owners().size, (2 * SHARDS) / 3, 'a may still hold its own');
     await fixture.advance(200);
     t.equal(next.owners().size, SHARDS);
     await fixture.stop(led);
-    await finish(t, fixture, next);
+    await verifyAndStop(t, fixture, next);
   }
 });
 
@@ -245,7 +256,7 @@
 // would obey that, so nothing leaves it before the renewal has lapsed.
 void tap.test('late order of the former leader after a takeover', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led} = await start(checksFences);
+    const {fixture, leader: led} = await startCluster(checksFences);
     const server = fixture.fakes.get('a');
     let delayed = 0;
     server.fate = ({fence}) => {
@@ -253,17 +264,17 @@
       delayed++;
       return {delayMs: 1500};
     };
-    await until({fixture}, () => delayed > 0);
+    await waitUntil({fixture}, () => delayed > 0);
     led.authority.until = fixture.clock.now();
     fixture.drains.add('a');
-    const next = fixture.lead({epoch: 2, table: led.recorded()});
+    const next = fixture.startLeader({epoch: 2, table: led.recorded()});
     await fixture.advance(1000);
     t.equal(next.shardsOf('a').length, checksFences ? 0 : SHARDS / 3);
     await fixture.advance(4000);
     t.same(next.shardsOf('a'), []);
     t.equal(next.owners().size, SHARDS);
     await fixture.stop(led);
-    await finish(t, fixture, next);
+    await verifyAndStop(t, fixture, next);
   }
 });
 
@@ -273,13 +284,13 @@
 // off. What servers report stays with them.
 void tap.test('takeover without the table', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led} = await start(checksFences);
+    const {fixture, leader: led} = await startCluster(checksFences);
     const before = led.owners();
     led.process.pause();
     led.authority.until = fixture.clock.now();
     fixture.fakes.get('c').fate = () => ({lost: true});
-    const next = fixture.lead({epoch: 2});
-    await fixture.advance(FOREIGN_MS - 100);
+    const next = fixture.startLeader({epoch: 2});
+    await fixture.advance(FORMER_LEASES_MS - 100);
     t.equal(next.owners().size, 0);
     await fixture.advance(300);
     t.equal(next.owners().size, SHARDS);
@@ -287,14 +298,14 @@
       if (name !== 'c') t.equal(next.owners().get(shard), name);
     }
     await fixture.stop(led);
-    await finish(t, fixture, next);
+    await verifyAndStop(t, fixture, next);
   }
 });
 
 // Two servers report the same shard, which can't be. Neither keeps it until
 // both leases have surely lapsed; then it is granted anew.
 void tap.test('takeover without the table: a shard reported twice', async t => {
-  const {fixture, led} = await start(false);
+  const {fixture, leader: led} = await startCluster(false);
   led.process.pause();
   led.authority.until = fixture.clock.now();
   const shards = led.shardsOf('a');
@@ -312,7 +323,7 @@
   await fixture.advance(20);
   t.ok((await told).ok);
   t.equal(fixture.violations.size, 1, 'the lie is seen');
-  const next = fixture.lead({epoch: 2});
+  const next = fixture.startLeader({epoch: 2});
   await fixture.advance(100);
   for (const name of ['a', 'b']) {
     t.notOk(fixture.fakes.get(name).belief(CELL)?.shards.includes(shard));
@@ -323,7 +334,7 @@
       .belief(CELL)
       ?.shards.includes(shards[1] ?? ''),
   );
-  await fixture.advance(FOREIGN_MS + 100);
+  await fixture.advance(FORMER_LEASES_MS + 100);
   t.equal(next.owners().size, SHARDS);
   await fixture.stop(led);
   await fixture.stop(next);
@@ -332,7 +343,7 @@
 // The standby acknowledges nothing any more. Callers notice nothing, but no
 // key changes its server until a standby records again.
 void tap.test('standby refuses to record', async t => {
-  const {fixture, led} = await start(true);
+  const {fixture, leader: led} = await startCluster(true);
   const before = led.owners();
   led.authority.records = false;
   fixture.drains.add('a');
@@ -345,7 +356,7 @@
   led.authority.records = true;
   await fixture.advance(3000);
   t.equal(led.shardsOf('c').length, SHARDS);
-  await finish(t, fixture, led);
+  await verifyAndStop(t, fixture, led);
 });
 
 // A router is stopped as planned while shards are on their way from one
@@ -354,19 +365,19 @@
 void tap.test('leader stops amidst handovers', async t => {
   for (const checksFences of KINDS) {
     for (const drainMs of [0, 40, 400]) {
-      const {fixture, led} = await start(checksFences);
+      const {fixture, leader: led} = await startCluster(checksFences);
       fixture.drainMs = drainMs;
       fixture.drains.add('a');
-      await until({fixture}, () => led.owners().size < SHARDS);
+      await waitUntil({fixture}, () => led.owners().size < SHARDS);
       led.authority.until = fixture.clock.now();
       const table = await fixture.stop(led);
       t.equal(led.gateClosed.size, 0);
       t.equal(table?.entries.length, SHARDS);
-      const next = fixture.lead({epoch: 2, table});
+      const next = fixture.startLeader({epoch: 2, table});
       await fixture.advance(6000);
       t.same(next.shardsOf('a'), []);
       t.equal(next.owners().size, SHARDS);
-      await finish(t, fixture, next);
+      await verifyAndStop(t, fixture, next);
     }
   }
 });
@@ -377,7 +388,7 @@
 // lease has lapsed.
 void tap.test('takeover with a server at another address', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     led.process.pause();
     led.authority.until = fixture.clock.now();
     const table = led.recorded();
@@ -385,9 +396,9 @@
       server.name === 'a' ? {...server, address: '127.0.0.1:1'} : server,
     );
     const before = fixture.fakes.get('a').obeyed.length;
-    const next = fixture.lead({epoch: 2, table});
-    await fixture.advance(FOREIGN_MS - 100);
-    t.equal(next.where(key), 'moving');
+    const next = fixture.startLeader({epoch: 2, table});
+    await fixture.advance(FORMER_LEASES_MS - 100);
+    t.equal(next.locationOf(key), 'moving');
     t.equal(next.recorded()?.addresses?.get('a'), toServer('a').address);
     for (const order of fixture.fakes.get('a').obeyed.slice(before)) {
       t.same(order.shards, []);
@@ -396,7 +407,7 @@
     t.equal(next.owners().size, SHARDS);
     t.equal(next.recorded()?.addresses?.get('a'), '127.0.0.1:1');
     await fixture.stop(led);
-    await finish(t, fixture, next);
+    await verifyAndStop(t, fixture, next);
   }
 });
 
@@ -405,14 +416,14 @@
 // and is cut off from the new leader, and the old one orders it its keys once
 // more. The new leader must wait for that lease too, not only for its own.
 void tap.test('server restarted and told by the old leader', async t => {
-  const {fixture, led, key} = await start(true);
+  const {fixture, leader: led, key} = await startCluster(true);
   const server = fixture.fakes.get('a');
   let clear: () => void = () => {};
   const cleared = new Promise<void>(resolve => (clear = resolve));
   led.authority.records = false;
-  const next = fixture.lead({epoch: 2, table: led.recorded(), cleared});
+  const next = fixture.startLeader({epoch: 2, table: led.recorded(), cleared});
   await fixture.advance(100);
-  t.equal(next.where(key), 'a');
+  t.equal(next.locationOf(key), 'a');
   server.fate = ({fence}) => ({lost: fence.epoch === 2});
   await fixture.advance(600);
   server.restart();
@@ -422,23 +433,23 @@
   t.equal(belief?.shards.length, SHARDS / 3);
   led.authority.until = fixture.clock.now();
   clear();
-  await fixture.advance(FOREIGN_MS - 100);
-  t.equal(next.where(key), 'moving');
+  await fixture.advance(FORMER_LEASES_MS - 100);
+  t.equal(next.locationOf(key), 'moving');
   await fixture.advance(200);
   t.equal(next.owners().size, SHARDS);
   await fixture.stop(led);
-  await finish(t, fixture, next);
+  await verifyAndStop(t, fixture, next);
 });
 
 // A router that has just taken a cell over without the table is stopped
 // before all older leases have lapsed. It doesn't know all owners yet, so it
 // hands on no table: a successor would take shards for free that are not.
 void tap.test('leader stopped while it asks the servers', async t => {
-  const {fixture, led} = await start(false);
+  const {fixture, leader: led} = await startCluster(false);
   led.process.pause();
   led.authority.until = fixture.clock.now();
   fixture.fakes.get('a').fate = () => ({lost: true});
-  const next = fixture.lead({epoch: 2});
+  const next = fixture.startLeader({epoch: 2});
   await fixture.advance(500);
   t.equal(await fixture.stop(next), null);
   t.equal(next.recorded(), null);
@@ -452,10 +463,10 @@
 // still runs for the key, at the server that has the hash range.
 void tap.test('leader lost while it waits to split a key', async t => {
   for (const checksFences of KINDS) {
-    const {fixture, led, key} = await start(checksFences);
+    const {fixture, leader: led, key} = await startCluster(checksFences);
     fixture.drainMs = 900;
     fixture.load = createLoad([{key, rate: 100, busy: 3}]);
-    await until({fixture}, () => led.gateClosed.size > 0);
+    await waitUntil({fixture}, () => led.gateClosed.size > 0);
     fixture.drains.add('c');
     await fixture.advance(600);
     led.process.pause();
@@ -463,10 +474,10 @@
     const table = led.recorded();
     const entry = table?.entries.find(({shard}) => shard === `k:${key}`);
     t.same([entry?.state, entry?.server], ['held', 'a']);
-    const next = fixture.lead({epoch: 2, table});
+    const next = fixture.startLeader({epoch: 2, table});
     await fixture.advance(500);
-    t.equal(next.where(key), 'a');
+    t.equal(next.locationOf(key), 'a');
     await fixture.stop(led);
-    await finish(t, fixture, next);
+    await verifyAndStop(t, fixture, next);
   }
 });
--- a/packages/ownership/test/lease-fixture.ts
+++ b/packages/ownership/test/lease-fixture.ts
@@ -37,7 +37,7 @@
 };
 
 /** How long after `cleared` every order of a former leader has lapsed. */
-export const FOREIGN_MS = 2040;
+export const FORMER_LEASES_MS = 2040;
 
 export interface Fixture {
   readonly clock: ManualClock;
@@ -49,23 +49,23 @@
   load: CellLoad;
   /** How long requests in flight take to finish. */
   drainMs: number;
-  lead(options?: LeadOptions): Led;
+  startLeader(options?: LeaderOptions): TestLeader;
   /** Ends a leadership; yields its last table. */
-  stop(led: Led): Promise<ShardTable | null>;
+  stop(led: TestLeader): Promise<ShardTable | null>;
   /** What broke the rules of ownership so far; empty is right. */
   readonly violations: ReadonlySet<string>;
   /** Moves time on in steps of 20 ms and checks locations at each. */
   advance(ms: number): Promise<void>;
 }
 
-export interface LeadOptions {
+export interface LeaderOptions {
   readonly epoch?: number;
   readonly table?: ShardTable | null;
   readonly cleared?: Promise<void>;
 }
 
 /** One leadership, with what a test can do to it. */
-export interface Led {
+export interface TestLeader {
   readonly leader: CellLeader;
   readonly process: Pausable;
   /** When its authority ends, and whether the standby records. */
@@ -74,7 +74,7 @@
   /** The table as the standby has it. */
   recorded(): ShardTable | null;
   /** Server that the key would be sent to now, or the kind of its location. */
-  where(key: string): string;
+  locationOf(key: string): string;
   /** Servers of all shards that can be served now. */
   owners(): ReadonlyMap<ShardId, string>;
   shardsOf(server: string): readonly ShardId[];
@@ -107,7 +107,7 @@
     cells: 1,
     checksFences,
   };
-  const leds = new Set<Led>();
+  const leds = new Set<TestLeader>();
 
   const store: StateStore = {
     current: () =>
@@ -133,7 +133,7 @@
     open: (_, shard) => void closed.delete(shard),
   });
 
-  const lead = (lead: LeadOptions = {}): Led => {
+  const lead = (lead: LeaderOptions = {}): TestLeader => {
     const authority = {until: Infinity, records: true};
     const gateClosed = new Set<ShardId>();
     const process = createPausable(clock, fakes.client);
@@ -168,13 +168,13 @@
       const servable = shards.filter(shard => shard.servable);
       return new Map(servable.map(({shard, server}) => [shard, server ?? '']));
     };
-    const led: Led = {
+    const led: TestLeader = {
       leader,
       process,
       authority,
       gateClosed,
       recorded: () => recorded,
-      where(key) {
+      locationOf(key) {
         const location = leader.led.locate(key);
         return location.kind === 'owned' ? location.server.name : location.kind;
       },
@@ -204,7 +204,7 @@
     hosts: [],
     load: createLoad(),
     drainMs: 0,
-    lead,
+    startLeader: lead,
     async stop(led) {
       const stopped = led.leader.stop();
       await advance(STEP_MS);
--- a/packages/ownership/test/random-schedule.ts
+++ b/packages/ownership/test/random-schedule.ts
@@ -2,7 +2,7 @@
 import type {FakeServer, OrderFate} from './fake-servers.js';
 import {
   type Fixture,
-  type Led,
+  type TestLeader,
   createFixture,
   createLoad,
   toServer,
@@ -24,8 +24,8 @@
   readonly fixture: Fixture;
   readonly random: Random;
   readonly checksFences: boolean;
-  readonly former: Led[];
-  led: Led;
+  readonly former: TestLeader[];
+  led: TestLeader;
   epoch: number;
 }
 
@@ -48,7 +48,7 @@
     checksFences,
     paceOf: name => paces.get(name) ?? 1,
   });
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   const scene: Scene = {
     fixture,
     random,
@@ -188,7 +188,7 @@
   const cleared = new Promise<void>(resolve => {
     fixture.clock.after(over - fixture.clock.now(), resolve);
   });
-  scene.led = fixture.lead({epoch: ++scene.epoch, table, cleared});
+  scene.led = fixture.startLeader({epoch: ++scene.epoch, table, cleared});
 }
 
 async function stopAsPlanned(scene: Scene): Promise<void> {
@@ -200,7 +200,7 @@
   const cleared = new Promise<void>(resolve => {
     fixture.clock.after(over - fixture.clock.now(), resolve);
   });
-  scene.led = fixture.lead({epoch: ++scene.epoch, table, cleared});
+  scene.led = fixture.startLeader({epoch: ++scene.epoch, table, cleared});
 }
 
 function heal({fixture, former, led}: Scene): void {
