--- a/packages/ownership/src/condition.ts
+++ b/packages/ownership/src/condition.ts
@@ -1,20 +1,21 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 
-/** Lets tasks wait for a change that another one announces. */
+/** Condition variable: tasks wait on it until another task notifies them. */
 export interface Condition {
-  /** Wakes everybody who waits. */
+  /** Wakes all waiters. */
   notify(): void;
   /** Resolves at the next `notify`, after `ms`, or when `signal` aborts. */
   wait(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
 /**
- * Makes a condition. Waiters look at the state again after they wake.
+ * Creates a condition. A wake-up says nothing about the state, so waiters must
+ * check it again.
  *
  * @example
  * ```ts
  * while (!isReleased() && !signal.aborted) {
- *   await changed.wait(untilLapse(), signal);
+ *   await changed.wait(msUntilExpiry(), signal);
  * }
  * ```
  */
@@ -46,8 +47,8 @@
 }
 
 /**
- * Resolves with the promise, or at once when the signal aborts. Callers look
- * at the signal afterwards.
+ * Resolves when the promise resolves, or as soon as the signal aborts. Callers
+ * check the signal afterwards to tell the two apart.
  *
  * @example
  * ```ts
@@ -60,23 +61,25 @@
   signal: AbortSignal,
 ): Promise<void> {
   if (signal.aborted) return;
-  const ended = new AbortController();
+  const listening = new AbortController();
   const aborted = new Promise<void>(resolve => {
-    signal.addEventListener('abort', () => resolve(), {signal: ended.signal});
+    signal.addEventListener('abort', () => resolve(), {
+      signal: listening.signal,
+    });
   });
   try {
     await Promise.race([promise, aborted]);
   } finally {
-    ended.abort();
+    listening.abort();
   }
 }
 
 /**
- * Whether the promise resolves within `ms`.
+ * Resolves to whether the promise resolves within `ms`.
  *
  * @example
  * ```ts
- * if (!(await within(clock, 1000, gate.close(cell, shard)))) giveUp();
+ * const isClosed = await resolvesWithin(clock, 1000, gate.close(cell, shard));
  * ```
  */
 export function resolvesWithin(
@@ -91,14 +94,15 @@
 }
 
 /**
- * Runs `task` with a signal that aborts after `ms`, or when `signal` does.
- * One listener for each call and none left behind: `AbortSignal.any` over a
- * signal that lives as long as the process would keep growing.
+ * Runs `task` with a signal that aborts after `ms` or when `signal` aborts.
+ * Removes its listener afterwards. `AbortSignal.any` is not used because a
+ * source signal that lives as long as the process would accumulate dependent
+ * signals.
  *
  * @example
  * ```ts
- * const result = await withTimeout(clock, 300, signal, ended =>
- *   client.order(server, order, ended),
+ * const result = await withTimeout(clock, 300, signal, taskSignal =>
+ *   client.order(server, order, taskSignal),
  * );
  * ```
  */
@@ -106,7 +110,7 @@
   clock: Clock,
   ms: number,
   signal: AbortSignal,
-  task: (ended: AbortSignal) => Promise<T>,
+  task: (taskSignal: AbortSignal) => Promise<T>,
 ): Promise<T> {
   const controller = new AbortController();
   const abort = (): void => controller.abort();
--- a/packages/ownership/src/context.ts
+++ b/packages/ownership/src/context.ts
@@ -6,7 +6,7 @@
 import type {PauseDetector} from './pauses.js';
 import type {AuthorityTiming} from './timing.js';
 
-/** What every part of this package works with. */
+/** Dependencies shared by the modules of this package. */
 export interface OwnershipContext {
   readonly self: Incarnation;
   readonly store: StateStore;
@@ -15,8 +15,8 @@
   readonly log: Logger;
   readonly timing: AuthorityTiming;
   readonly pauses: PauseDetector;
-  /** 0 to below 1, for jitter. */
+  /** Returns a number in [0, 1), for jitter. */
   readonly random: () => number;
-  /** Aborted when everything is to end. */
+  /** Aborts when the whole package must stop. */
   readonly signal: AbortSignal;
 }
--- a/packages/ownership/src/hot-shards.ts
+++ b/packages/ownership/src/hot-shards.ts
@@ -3,17 +3,17 @@
 import type {HotKeySplit} from './hot-split.js';
 import type {HotKey} from './led-cell.js';
 
-/** What should become of the cell's hot keys. */
+/** Hot keys to split off from their hash range, and to merge back into it. */
 export interface HotKeyChanges {
   readonly split: readonly HotKeySplit[];
   readonly merge: readonly HotKeySplit[];
 }
 
-/** Decides which keys are shards of their own. */
+/** Decides which hot keys become shards of their own. */
 export interface HotKeyTracker {
   /**
-   * Takes one period's hot keys in. `capacity` is an average server's, in
-   * slots; `busyOf` yields the smoothed load of a shard.
+   * Evaluates the hot keys of one period. `capacity` is that of an average
+   * server, in slots; `busyOf` returns the smoothed load of a shard.
    */
   update(
     hotKeys: readonly HotKey[],
@@ -23,49 +23,50 @@
   ): HotKeyChanges;
 }
 
-/** A key is hot where it takes this share of an average server. */
+/** A key is hot if it uses at least this share of an average server. */
 const SPLIT_LOAD_SHARE = 0.1;
 
-/** A key that takes less than this is hot no more. */
+/** A split key that uses less than this share is cold. */
 const MERGE_LOAD_SHARE = 0.03;
 
-/** Periods on end that a key must be hot, so that a short peak is ignored. */
+/** Consecutive periods that a key must be hot, to ignore short peaks. */
 const SPLIT_PERIODS = 3;
 
-/** Periods on end that it must be cold. */
+/** Consecutive periods that a split key must be cold before it is merged. */
 const MERGE_PERIODS = 60;
 
-/** Hot keys of one cell at most. */
+/** Maximum number of split hot keys in one cell. */
 const MAX_HOT_KEYS = 128;
 
-/** Splits in one period at most: each stops its hash range for a moment. */
+/** Maximum per period: each split briefly stops dispatch of its hash range. */
 const MAX_SPLITS_PER_PERIOD = 4;
 
 /**
- * Makes the decision of one cell; it keeps count of the periods.
+ * Creates the tracker of one cell. It counts for how many consecutive periods
+ * each key has been hot or cold.
  *
  * @example
  * ```ts
- * const {split, merge} = hotShards.note(hotKeys, 4, loads.busyOf, now);
+ * const {split, merge} = hotKeyTracker.update(hotKeys, 4, loads.busyOf, now);
  * ```
  */
 export function createHotKeyTracker(map: ShardMap): HotKeyTracker {
-  let hotFor = new Map<string, number>();
-  const coldFor = new Map<string, number>();
+  let hotPeriods = new Map<string, number>();
+  const coldPeriods = new Map<string, number>();
 
-  const countHot = (hotKeys: readonly HotKey[], least: number): void => {
+  const countHot = (hotKeys: readonly HotKey[], minBusy: number): void => {
     const next = new Map<string, number>();
     for (const {key, busy} of hotKeys) {
-      if (busy >= least) next.set(key, (hotFor.get(key) ?? 0) + 1);
+      if (busy >= minBusy) next.set(key, (hotPeriods.get(key) ?? 0) + 1);
     }
-    hotFor = next;
+    hotPeriods = next;
   };
 
   const findSplits = (now: number): HotKeySplit[] => {
     const pairs: HotKeySplit[] = [];
-    const left = MAX_HOT_KEYS - [...map.hotKeys()].length;
-    for (const [key, periods] of hotFor) {
-      if (pairs.length >= Math.min(left, MAX_SPLITS_PER_PERIOD)) break;
+    const remaining = MAX_HOT_KEYS - [...map.hotKeys()].length;
+    for (const [key, periods] of hotPeriods) {
+      if (pairs.length >= Math.min(remaining, MAX_SPLITS_PER_PERIOD)) break;
       if (periods < SPLIT_PERIODS) continue;
       if (map.get(hotShardOf(key)) !== undefined) continue;
       const range = map.rangeOf(key);
@@ -77,7 +78,7 @@
   };
 
   const findMerges = (
-    least: number,
+    minBusy: number,
     busyOf: (shard: string) => number,
     now: number,
   ): HotKeySplit[] => {
@@ -86,14 +87,15 @@
       const hot = map.get(hotShardOf(key));
       const range = map.rangeOf(key);
       if (hot === undefined || range === null) continue;
-      const cold = busyOf(hot.shard) < least ? (coldFor.get(key) ?? 0) + 1 : 0;
-      coldFor.set(key, cold);
-      if (cold < MERGE_PERIODS) continue;
+      const periods =
+        busyOf(hot.shard) < minBusy ? (coldPeriods.get(key) ?? 0) + 1 : 0;
+      coldPeriods.set(key, periods);
+      if (periods < MERGE_PERIODS) continue;
       if (isSettled(hot, now) && isSettled(range, now))
         pairs.push({key, hot, range});
     }
-    for (const key of coldFor.keys()) {
-      if (map.get(hotShardOf(key)) === undefined) coldFor.delete(key);
+    for (const key of coldPeriods.keys()) {
+      if (map.get(hotShardOf(key)) === undefined) coldPeriods.delete(key);
     }
     return pairs;
   };
--- a/packages/ownership/src/hot-split.ts
+++ b/packages/ownership/src/hot-split.ts
@@ -1,12 +1,12 @@
 /**
- * Hot keys as shards of their own. Both changes happen on one server: while
- * a key goes from one shard id to the other, a request under either id runs
- * where the key is owned.
+ * Splits hot keys off into shards of their own, and merges them back. Each
+ * change happens on one server: while a key changes from one shard id to the
+ * other, requests under either id run on the server that owns the key.
  */
 import {type HandoverContext, quiesce} from './handover.js';
 import type {Slot} from './shard-table.js';
 
-/** A hot key's slot and that of the hash range that it falls into. */
+/** A hot key with its own shard and the hash range that it falls into. */
 export interface HotKeySplit {
   readonly key: string;
   readonly hot: Slot;
@@ -14,11 +14,11 @@
 }
 
 /**
- * Makes a key a shard of its own, on the server that has its hash range.
- * Before the new shard may move, no request for the key may be in flight
- * under the range's id: the old server would run it beside the new owner. So
- * the range stops, and its requests in flight finish, before the key counts
- * under its own id.
+ * Makes a key a shard of its own, on the server that owns its hash range.
+ * Before the new shard may move, no request for the key may be in flight under
+ * the range's id: the old server would run it concurrently with the new owner.
+ * So dispatch of the range stops and its requests in flight finish before the
+ * key is used under its own shard id.
  *
  * @example
  * ```ts
@@ -33,15 +33,15 @@
   const {map, recorder, locator} = ctx;
   const task = range.server === null ? undefined : ctx.tasks.get(range.server);
   if (task === undefined) return map.removeHot(key);
-  // Set before anything is awaited: any change of the table records this
-  // entry too. A successor that found it free would give the key to another
-  // server while requests for it still run under the range's id.
+  // Set before anything is awaited, because any change of the table records
+  // this entry too. A successor that found the entry free would grant the key
+  // to another server while requests for it still run under the range's id.
   hot.state = 'held';
   hot.server = range.server;
   hot.reason = 'split off as a hot key';
   recorder.touch();
-  // Quiet before the server is told: an undone split would else stop what
-  // runs for the key.
+  // Dispatch stops before the server is granted the shard. Otherwise undoing
+  // the split would stop requests that run for the key.
   if (!(await quiesce(ctx, range, task, false))) return removeHotKey(ctx, key);
   if (await recorder.commit()) {
     task.add([hot.shard]);
@@ -51,7 +51,7 @@
   locator.resume(range);
 }
 
-/** The key never counted under its own id: the server must not keep it. */
+/** Releases the key's shard, which no request has used, and removes it. */
 async function undoSplit(
   ctx: HandoverContext,
   pair: HotKeySplit,
@@ -70,9 +70,9 @@
 }
 
 /**
- * Makes a hot key part of its hash range again, on the server that has both.
- * Until the server has given up the key's own shard, the range must not move
- * and the table keeps both: the server still believes that it owns the key.
+ * Merges a hot key back into its hash range, on the server that owns both.
+ * Until the server has released the key's own shard, the range must not move
+ * and the table keeps both: the server's lease still covers the key.
  *
  * @example
  * ```ts
@@ -88,8 +88,8 @@
   const task = hot.server === null ? undefined : ctx.tasks.get(hot.server);
   if (task === undefined) return;
   if (!(await quiesce(ctx, hot, task, false))) return;
-  // Given up before the key counts as its range's: with the shard the server
-  // stops whatever runs for the key.
+  // Released before the key is dispatched under its range's id again: on the
+  // release, the server stops whatever runs for the key.
   await task.release(hot.shard);
   if (signal.aborted) return;
   map.conceal(key);
--- a/packages/ownership/src/lease-exchange.ts
+++ b/packages/ownership/src/lease-exchange.ts
@@ -21,20 +21,23 @@
 import type {LeaseTiming} from './lease-timing.js';
 
 /**
- * - `ok`: the server obeyed.
- * - `again`: go on at once: its clock has been read, or it has restarted.
- * - `failed`: no answer, a refusal, or an answer that proves nothing.
- * - `no-authority`: nothing was sent.
+ * Outcome of one exchange with a server.
+ *
+ * - `ok`: the server applied the order.
+ * - `again`: continue without delay: the server's clock has been read, the
+ *   server has restarted, or the next order has a higher fence.
+ * - `failed`: no answer, a rejection, or an inconclusive answer.
+ * - `no-authority`: nothing was sent, as this process may not act.
  */
 export type ExchangeOutcome = 'ok' | 'again' | 'failed' | 'no-authority';
 
-/** Questions and orders to one server, one at a time. */
+/** Sends clock requests and lease orders to one server, one at a time. */
 export interface LeaseExchange {
   /** Reads the server's clock, or sends an order that echoes a reading. */
   run(): Promise<ExchangeOutcome>;
   /** The lease in force as last acknowledged, or null. */
   grant(): Grant | null;
-  /** When this run of the server got its first lease here, or null. */
+  /** When this server instance acknowledged its first lease, or null. */
   firstGrantAt(): number | null;
 }
 
@@ -48,12 +51,12 @@
   readonly signal: AbortSignal;
   readonly tracker: LeaseTracker;
   readonly set: LeaseSet;
-  /** Called with what a run of the server held when first asked. */
+  /** Called with the shards that a server instance holds at first contact. */
   readonly onReport: (shards: readonly ShardId[]) => void;
 }
 
 /**
- * Makes the exchange with one server.
+ * Creates the exchange with one server.
  *
  * @example
  * ```ts
@@ -64,15 +67,7 @@
 export function createLeaseExchange(
   options: LeaseExchangeOptions,
 ): LeaseExchange {
-  const {
-    server,
-    authority,
-    clock,
-    timing,
-    signal,
-    tracker: holding,
-    set,
-  } = options;
+  const {server, authority, clock, timing, signal, tracker, set} = options;
   const cell: CellId = authority.cell;
   let grant: Grant | null = null;
   let firstGrantAt: number | null = null;
@@ -80,21 +75,21 @@
 
   const run = (): Promise<ExchangeOutcome> => {
     const now = clock.now();
-    // Asked in the step that sends: a leader that was paused must not order
-    // with an authority that ended meanwhile.
+    // Checked in the same synchronous step that sends: a leader that was paused
+    // must not send an order after its authority ended.
     if (!authority.mayAct()) return Promise.resolve('no-authority');
-    const echo = freshReading(holding, now, timing);
-    if (echo === null) return askClock(now);
+    const echo = freshReading(tracker, now, timing);
+    if (echo === null) return requestReading(now);
     const {fence, shards} = set.next();
     const order = createSentOrder(fence, shards, echo, now, timing);
-    holding.recordSent(order);
+    tracker.recordSent(order);
     return sendOrder(order);
   };
 
-  const askClock = async (askedAt: number): Promise<ExchangeOutcome> => {
+  const requestReading = async (askedAt: number): Promise<ExchangeOutcome> => {
     const result = await send(null);
     if (result.err) return 'failed';
-    noteStamp(result.val, askedAt);
+    recordStamp(result.val, askedAt);
     set.raiseFenceAbove(result.val.fence);
     return 'again';
   };
@@ -102,8 +97,8 @@
   const sendOrder = async (order: SentOrder): Promise<ExchangeOutcome> => {
     const result = await send(order);
     return result.ok
-      ? acknowledge(order, result.val)
-      : refuse(order, result.val);
+      ? handleAck(order, result.val)
+      : handleError(order, result.val);
   };
 
   const send = (order: SentOrder | null): ReturnType<ServerClient['order']> => {
@@ -114,16 +109,16 @@
       echo: order?.echo.stamp ?? null,
       shards: order === null ? [] : [...order.shards],
     };
-    return withTimeout(clock, timing.orderTimeoutMs, signal, ended =>
-      options.client.order(server, message, ended, authority.mayAct),
+    return withTimeout(clock, timing.orderTimeoutMs, signal, timeoutSignal =>
+      options.client.order(server, message, timeoutSignal, authority.mayAct),
     );
   };
 
-  const noteStamp = (ack: LeaseAck, askedAt: number): ClockReading => {
-    const before = holding.lastReading();
+  const recordStamp = (ack: LeaseAck, askedAt: number): ClockReading => {
+    const before = tracker.lastReading();
     const {stamp} = ack;
     const reading: ClockReading = {stamp, askedAt, receivedAt: clock.now()};
-    holding.recordReading(reading);
+    tracker.recordReading(reading);
     if (before !== null && before.stamp.boot !== stamp.boot) {
       grant = null;
       firstGrantAt = null;
@@ -136,9 +131,9 @@
     return reading;
   };
 
-  const refuse = (order: SentOrder, err: ServerError): ExchangeOutcome => {
-    const isRefused = err.kind === 'unreachable' || err.kind === 'fenced';
-    if (isRefused) holding.recordRejected(order);
+  const handleError = (order: SentOrder, err: ServerError): ExchangeOutcome => {
+    const isNotApplied = err.kind === 'unreachable' || err.kind === 'fenced';
+    if (isNotApplied) tracker.recordRejected(order);
     if (err.kind !== 'fenced') return 'failed';
     const known = err.fence ?? null;
     if (known?.epoch !== authority.epoch) return 'failed';
@@ -146,12 +141,12 @@
     return 'again';
   };
 
-  const acknowledge = (order: SentOrder, ack: LeaseAck): ExchangeOutcome => {
-    const obeyed = isApplied(order, ack, timing);
-    if (obeyed) holding.recordApplied(order);
-    else holding.recordRejected(order);
-    const reading = noteStamp(ack, order.sentAt);
-    if (!obeyed) {
+  const handleAck = (order: SentOrder, ack: LeaseAck): ExchangeOutcome => {
+    const applied = isApplied(order, ack, timing);
+    if (applied) tracker.recordApplied(order);
+    else tracker.recordRejected(order);
+    const reading = recordStamp(ack, order.sentAt);
+    if (!applied) {
       const restarted = ack.stamp.boot !== order.echo.stamp.boot;
       return restarted ? 'again' : 'failed';
     }
@@ -163,13 +158,13 @@
   return {run, grant: () => grant, firstGrantAt: () => firstGrantAt};
 }
 
-/** A reading that still buys at least half a lease, or null. */
+/** The last reading if it still allows at least half a lease, or null. */
 function freshReading(
-  holding: LeaseTracker,
+  tracker: LeaseTracker,
   now: number,
   timing: LeaseTiming,
 ): ClockReading | null {
-  const reading = holding.lastReading();
+  const reading = tracker.lastReading();
   if (reading === null) return null;
   return now - reading.askedAt < timing.ttlMs / 2 ? reading : null;
 }
--- a/packages/ownership/src/lease-grant.ts
+++ b/packages/ownership/src/lease-grant.ts
@@ -3,22 +3,22 @@
 import type {ClockReading, SentOrder} from './lease-holding.js';
 import type {LeaseTiming} from './lease-timing.js';
 
-/** A lease that requests can be dispatched under. */
+/** An acknowledged lease, under which requests can be dispatched. */
 export interface Grant {
   readonly shards: ReadonlySet<ShardId>;
-  /** Local time up to which the server surely obeys it. */
+  /** Local time until which the server is guaranteed to honour the lease. */
   readonly leaseEnd: number;
-  /** Converts a local time into the server's own clock, erring early. */
+  /** Converts a local time to the server's clock; errs on the early side. */
   readonly toServerTime: (localMs: number) => Stamp;
 }
 
 /**
- * The grant that an order came to, once the server obeyed it; `newest` is the
- * reading in the server's answer.
+ * Creates the grant for an order that the server applied. `latestReading` is
+ * the clock reading from the server's acknowledgement.
  *
  * @example
  * ```ts
- * const {leaseEnd, toServerTime} = createGrant(order, newest, timing);
+ * const {leaseEnd, toServerTime} = createGrant(order, reading, timing);
  * ```
  */
 export function createGrant(
@@ -31,8 +31,9 @@
   return {
     shards: order.shards,
     leaseEnd: order.earliestExpiry,
-    // The server read its clock before the answer arrived here, so counting
-    // from the arrival errs early; so does the slower pace.
+    // The server read its clock before the acknowledgement arrived, so elapsed
+    // time measured from the arrival is too short and the result errs early.
+    // Assuming the slowest allowed rate of the server's clock does the same.
     toServerTime: localMs => ({
       boot,
       ms: ms + Math.max(0, localMs - latestReading.receivedAt) * slowestRate,
@@ -41,13 +42,14 @@
 }
 
 /**
- * Whether the server's answer proves that it obeyed the order. A server at
- * which the echo had lapsed answers too; taken for obedience, requests would
- * go to a server that refuses them, and a release would count that never was.
+ * Whether the acknowledgement proves that the server applied the order. A
+ * server also acknowledges an order whose echoed reading is older than the
+ * TTL, without applying it. Treating that as applied would dispatch requests
+ * to a server that rejects them, and would count a release that never happened.
  *
  * @example
  * ```ts
- * if (!isObeyed(order, ack, timing)) holding.noteRefused(order);
+ * if (!isApplied(order, ack, timing)) tracker.recordRejected(order);
  * ```
  */
 export function isApplied(
--- a/packages/ownership/src/lease-holding.ts
+++ b/packages/ownership/src/lease-holding.ts
@@ -1,14 +1,14 @@
 /**
- * What one server may believe that it holds, counted with care from its
- * answers and from the orders that it never answered.
+ * Tracks which shards one server may hold, as a conservative estimate from its
+ * acknowledgements and from orders that were never acknowledged.
  */
 import type {Fence, ShardId} from '@banyandrum/base/ids.js';
 import type {Stamp} from '@banyandrum/servers/client.js';
 import type {LeaseTiming} from './lease-timing.js';
 
 /**
- * A reading of the server's clock. The server took it after `askedAt` and
- * before `receivedAt`, both by this process's monotonic clock.
+ * A reading of the server's clock. The server took it between `askedAt` and
+ * `receivedAt`, both on this process's monotonic clock.
  */
 export interface ClockReading {
   readonly stamp: Stamp;
@@ -16,23 +16,26 @@
   readonly receivedAt: number;
 }
 
-/** An order that was sent, and how long it can count. */
+/** A lease order that was sent, with the bounds of its expiry. */
 export interface SentOrder {
   readonly fence: Fence;
   readonly shards: ReadonlySet<ShardId>;
   readonly echo: ClockReading;
   readonly sentAt: number;
-  /** Until then the server surely obeys it, once it has acknowledged it. */
+  /**
+   * Local time before which the lease cannot expire, provided that the server
+   * acknowledged the order.
+   */
   readonly earliestExpiry: number;
-  /** From then on the server surely doesn't obey it any more. */
+  /** Local time from which the lease has certainly expired. */
   readonly latestExpiry: number;
 }
 
-/** How long orders of former leaders may count at a server. */
+/** Limit on leases that former leaders granted at a server. */
 export interface FormerLeaseLimit {
-  /** When they had surely stopped sending; infinite while that isn't known. */
+  /** When former leaders had certainly stopped sending; infinite if unknown. */
   readonly clearedAt: number;
-  /** When the last of their orders has surely lapsed. */
+  /** When the last of their leases has certainly expired. */
   readonly expiresAt: number;
 }
 
@@ -41,85 +44,97 @@
   expiresAt: Infinity,
 };
 
-/** The account of one server. */
+/** Which shards one server may hold, and until when. */
 export interface LeaseTracker {
-  /** The newest reading of its clock. */
+  /** The latest reading of the server's clock. */
   lastReading(): ClockReading | null;
-  /** The newest order that it acknowledged, or null. */
+  /** The latest order that the server acknowledged as applied, or null. */
   lastApplied(): SentOrder | null;
-  /** Notes a reading; a new boot id voids all that the old run was told. */
+  /**
+   * Records a clock reading. A new boot id discards all orders sent to the
+   * previous instance of the server.
+   */
   recordReading(reading: ClockReading): void;
-  /** Notes an order in the step that sends it. */
+  /** Records an order; called in the same synchronous step that sends it. */
   recordSent(order: SentOrder): void;
-  /** The server obeyed the order. */
+  /** Records that the server applied the order. */
   recordApplied(order: SentOrder): void;
-  /** The order surely wasn't obeyed and never will be. */
+  /** Records that the order was not applied and never will be. */
   recordRejected(order: SentOrder): void;
-  /** Until when a former leader's orders may count; past: none does. */
+  /**
+   * Until when leases granted by former leaders may be in force; in the
+   * past if none is.
+   */
   formerLeaseExpiry(): number;
-  /** The former leaders are known to have stopped. */
+  /** Sets the limit once former leaders are known to have stopped. */
   limitFormerLeases(limit: FormerLeaseLimit): void;
-  /** When the server surely doesn't hold the shard; past: it doesn't now. */
+  /**
+   * From when the server certainly doesn't hold the shard; in the past if it
+   * doesn't hold it now.
+   */
   mayHoldUntil(shard: ShardId): number;
-  /** When the server surely holds nothing at all. */
+  /** From when the server certainly holds no shard at all. */
   mayHoldAnyUntil(): number;
 }
 
 /**
- * Opens the account of one server.
+ * Creates the tracker of one server.
  *
  * @example
  * ```ts
- * const holding = createHolding(true, NOT_CLEARED);
- * if (holding.mayHoldUntil('12') < clock.now()) grantElsewhere('12');
+ * const tracker = createLeaseTracker(true, UNLIMITED_FORMER_LEASES);
+ * if (tracker.mayHoldUntil('12') < clock.now()) grantElsewhere('12');
  * ```
  */
 export function createLeaseTracker(
   checksFences: boolean,
-  foreignLimit: FormerLeaseLimit,
+  initialLimit: FormerLeaseLimit,
 ): LeaseTracker {
   let reading: ClockReading | null = null;
-  let acknowledged: SentOrder | null = null;
-  let unanswered: SentOrder[] = [];
-  let foreign = foreignLimit;
+  let lastApplied: SentOrder | null = null;
+  let unacknowledged: SentOrder[] = [];
+  let formerLeases = initialLimit;
 
-  // Late orders of a former leader may still reach the server. One that
-  // checks fences refuses them once it obeyed our epoch. But it forgets that
-  // when it restarts, and while the former leader still acts it may be told
-  // anew, out of our sight. So only what we sent after that leader had
-  // stopped proves that its orders are shut out.
-  const foreignUntil = (): number => {
-    if (!checksFences || acknowledged === null) return foreign.expiresAt;
-    return acknowledged.sentAt >= foreign.clearedAt
+  // Delayed orders of a former leader may still reach the server. A server
+  // that checks fences rejects them once it applied an order of this epoch.
+  // But it forgets the epoch when it restarts, and a former leader that is
+  // still active may then lease it shards again, unnoticed by this leader. So
+  // only an order sent after the former leader had stopped proves that the
+  // server rejects the former leader's orders.
+  const formerLeaseExpiry = (): number => {
+    if (!checksFences || lastApplied === null) return formerLeases.expiresAt;
+    return lastApplied.sentAt >= formerLeases.clearedAt
       ? -Infinity
-      : foreign.expiresAt;
+      : formerLeases.expiresAt;
   };
 
-  const forget = (order: SentOrder): void => {
-    unanswered = unanswered.filter(other => other !== order);
+  const removeUnacknowledged = (order: SentOrder): void => {
+    unacknowledged = unacknowledged.filter(other => other !== order);
   };
 
-  const noteReading = (next: ClockReading): void => {
+  const recordReading = (next: ClockReading): void => {
     if (reading !== null && reading.stamp.boot !== next.stamp.boot) {
-      acknowledged = null;
-      unanswered = [];
+      lastApplied = null;
+      unacknowledged = [];
     }
     reading = next;
   };
 
-  const noteObeyed = (order: SentOrder): void => {
-    acknowledged = order;
-    // A server that checks fences refuses whatever is older than this.
-    if (checksFences) unanswered = [];
-    else forget(order);
+  const recordApplied = (order: SentOrder): void => {
+    lastApplied = order;
+    // A server that checks fences rejects every order older than this one.
+    if (checksFences) unacknowledged = [];
+    else removeUnacknowledged(order);
   };
 
-  const latest = (matches: (order: SentOrder) => boolean): number => {
-    let until = foreignUntil();
-    if (acknowledged !== null && matches(acknowledged)) {
-      until = Math.max(until, acknowledged.latestExpiry);
+  const latestExpiryWhere = (
+    matches: (order: SentOrder) => boolean,
+  ): number => {
+    let until = formerLeaseExpiry();
+    if (lastApplied !== null && matches(lastApplied)) {
+      until = Math.max(until, lastApplied.latestExpiry);
     }
-    for (const order of unanswered) {
+    for (const order of unacknowledged) {
       if (matches(order)) until = Math.max(until, order.latestExpiry);
     }
     return until;
@@ -127,27 +142,30 @@
 
   return {
     lastReading: () => reading,
-    lastApplied: () => acknowledged,
-    recordReading: noteReading,
+    lastApplied: () => lastApplied,
+    recordReading,
     recordSent(order) {
       const {receivedAt} = order.echo;
-      unanswered = unanswered.filter(old => old.latestExpiry > receivedAt);
-      unanswered.push(order);
+      unacknowledged = unacknowledged.filter(
+        old => old.latestExpiry > receivedAt,
+      );
+      unacknowledged.push(order);
     },
-    recordApplied: noteObeyed,
-    recordRejected: forget,
-    formerLeaseExpiry: foreignUntil,
+    recordApplied,
+    recordRejected: removeUnacknowledged,
+    formerLeaseExpiry,
     limitFormerLeases(limit) {
-      foreign = limit;
+      formerLeases = limit;
     },
-    mayHoldUntil: shard => latest(order => order.shards.has(shard)),
-    mayHoldAnyUntil: () => latest(order => order.shards.size > 0),
+    mayHoldUntil: shard => latestExpiryWhere(order => order.shards.has(shard)),
+    mayHoldAnyUntil: () => latestExpiryWhere(order => order.shards.size > 0),
   };
 }
 
 /**
- * An order as it is noted when sent: valid for TTL from the echoed reading,
- * which the server took somewhere between asking and receiving.
+ * Creates the record of an order that is about to be sent. The lease is valid
+ * for the TTL from the echoed reading, which the server took at some time
+ * between the request for it and its arrival.
  */
 export function createSentOrder(
   fence: Fence,
--- a/packages/ownership/src/lease-probe.ts
+++ b/packages/ownership/src/lease-probe.ts
@@ -14,10 +14,11 @@
   readonly signal: AbortSignal;
 }
 
-/** Asks one server how it says it is. */
+/** Polls one server for its self-reported load and health. */
 export interface LoadProbe {
-  /** Its newest report, or null while it can't be had. */
+  /** The latest report, or null if the last request for it failed. */
   last(): ServerLoad | null;
+  /** Polls until the signal aborts. */
   run(): Promise<void>;
 }
 
@@ -25,8 +26,8 @@
 const PROBE_TIMEOUT_MS = 500;
 
 /**
- * Makes the probe of one server. What it reports lags and may mislead: only
- * its word that it leaves, or is cold, counts for anything.
+ * Creates the probe of one server. Reports lag behind and may be wrong, so
+ * only the health values `leaving` and `cold` are used.
  *
  * @example
  * ```ts
@@ -38,9 +39,12 @@
   const {server, client, clock, signal} = options;
   let last: ServerLoad | null = null;
 
-  const ask = async (): Promise<ServerLoad | null> => {
-    const result = await withTimeout(clock, PROBE_TIMEOUT_MS, signal, ended =>
-      client.load(server, ended),
+  const requestLoad = async (): Promise<ServerLoad | null> => {
+    const result = await withTimeout(
+      clock,
+      PROBE_TIMEOUT_MS,
+      signal,
+      timeoutSignal => client.load(server, timeoutSignal),
     );
     return result.ok ? result.val : null;
   };
@@ -49,7 +53,7 @@
     last: () => last,
     async run() {
       while (!signal.aborted) {
-        last = await ask();
+        last = await requestLoad();
         await sleep(clock, PROBE_INTERVAL_MS, signal);
       }
     },
--- a/packages/ownership/src/lease-registry.ts
+++ b/packages/ownership/src/lease-registry.ts
@@ -36,18 +36,18 @@
   readonly onReport: (task: LeaseTask, shards: readonly ShardId[]) => void;
 }
 
-/** The leases of all servers of a cell. */
+/** The lease tasks of all servers of a cell. */
 export interface LeaseRegistry {
   readonly tasks: ReadonlyMap<string, LeaseTask>;
-  /** Opens leases of servers that came, ends those of servers that went. */
+  /** Adds tasks for new servers and removes those of servers that are gone. */
   refresh(): void;
-  /** Runs the tasks of servers that check fences. */
+  /** Starts the tasks of servers that check fences, now and in future. */
   runFenceChecking(): void;
-  /** Runs all tasks, now and later ones. */
+  /** Starts all tasks, now and in future. */
   runAll(): void;
-  /** Tells all that the former leaders are known to have stopped. */
+  /** Sets the limit on former leaders' leases in all tasks. */
   limitFormerLeases(limit: FormerLeaseLimit): void;
-  /** Why the server is being emptied, or null. */
+  /** Why the server's shards are being moved away, or null. */
   leavingReason(task: LeaseTask): LeavingReason | null;
   probe(task: LeaseTask): LoadProbe | undefined;
   fences(): ReadonlyMap<string, Fence>;
@@ -65,7 +65,8 @@
 }
 
 /**
- * Makes the registry of one cell's servers; `refresh` follows the inventory.
+ * Creates the registry of one cell's servers; `refresh` applies changes of the
+ * inventory.
  *
  * @example
  * ```ts
@@ -82,23 +83,23 @@
   const members = new Map<string, Member>();
   const tasks = new Map<string, LeaseTask>();
   const runs = new Set<Promise<void>>();
-  let permitted: 'none' | 'checking' | 'all' = 'none';
-  let foreign = UNLIMITED_FORMER_LEASES;
+  let startable: 'none' | 'checking' | 'all' = 'none';
+  let formerLeases = UNLIMITED_FORMER_LEASES;
 
-  // Made anew only with a new inventory: the cell asks at every tick, and the
-  // list of all servers grows with the whole system.
-  const wantedOf = createMemo((inventory: Inventory) => {
+  // Recomputed only for a new inventory: the placer refreshes at least every
+  // 500 ms, and the list of all servers grows with the whole system.
+  const listedServersOf = createMemo((inventory: Inventory) => {
     const found = inventory.services.find(({name}) => name === service);
     const servers = found
       ? serversOfCell(inventory.servers, service, index, found.cells)
       : [];
     return {
       found,
-      wanted: new Map(servers.map(s => [s.name, toServerRef(s)])),
+      listed: new Map(servers.map(s => [s.name, toServerRef(s)])),
     };
   });
 
-  const open = (server: ServerRef, checksFences: boolean): void => {
+  const addMember = (server: ServerRef, checksFences: boolean): void => {
     const stopper = new AbortController();
     const signal = AbortSignal.any([options.signal, stopper.signal]);
     setMaxListeners(0, signal);
@@ -106,7 +107,7 @@
       ...options,
       server,
       checksFences,
-      formerLeases: foreign,
+      formerLeases,
       signal,
     });
     const probe = createLoadProbe({...options, server, signal});
@@ -120,7 +121,7 @@
     });
   };
 
-  const retire = (member: Member): void => {
+  const removeMember = (member: Member): void => {
     const {server} = member.task;
     member.stopper.abort();
     members.delete(server.name);
@@ -132,49 +133,49 @@
     task.assigned().size === 0 && task.mayHoldAnyUntil() <= clock.now();
 
   const refresh = (): void => {
-    const {found, wanted} = wantedOf(store.current().inventory);
+    const {found, listed} = listedServersOf(store.current().inventory);
     for (const [name, member] of members) {
-      // Another address is another process: its lease is a new one, and the
-      // boot id that answers there proves nothing about the old process.
+      // A changed address means a different process, which needs a new lease:
+      // the boot id of the process there proves nothing about the old process.
       const {address} = member.task.server;
-      member.listed = wanted.get(name)?.address === address;
-      if (!member.listed && isEmpty(member.task)) retire(member);
+      member.listed = listed.get(name)?.address === address;
+      if (!member.listed && isEmpty(member.task)) removeMember(member);
     }
-    for (const [name, server] of wanted) {
-      if (!members.has(name)) open(server, found?.checksFences ?? false);
+    for (const [name, server] of listed) {
+      if (!members.has(name)) addMember(server, found?.checksFences ?? false);
     }
-    runPermitted();
+    startTasks();
   };
 
-  const runPermitted = (): void => {
-    if (permitted === 'none') return;
+  const startTasks = (): void => {
+    if (startable === 'none') return;
     for (const member of members.values()) {
       if (member.running) continue;
-      if (permitted === 'checking' && !member.task.checksFences) continue;
+      if (startable === 'checking' && !member.task.checksFences) continue;
       member.running = true;
-      follow(member.task.run());
-      follow(member.probe.run());
+      track(member.task.run());
+      track(member.probe.run());
     }
   };
 
-  const follow = (run: Promise<void>): void => {
-    const ended = run.finally(() => runs.delete(ended));
-    runs.add(ended);
+  const track = (run: Promise<void>): void => {
+    const tracked = run.finally(() => runs.delete(tracked));
+    runs.add(tracked);
   };
 
   return {
     tasks,
     refresh,
     runFenceChecking() {
-      permitted = 'checking';
-      runPermitted();
+      startable = 'checking';
+      startTasks();
     },
     runAll() {
-      permitted = 'all';
-      runPermitted();
+      startable = 'all';
+      startTasks();
     },
     limitFormerLeases(limit) {
-      foreign = limit;
+      formerLeases = limit;
       for (const task of tasks.values()) task.limitFormerLeases(limit);
     },
     leavingReason(task) {
--- a/packages/ownership/src/lease-servers.ts
+++ b/packages/ownership/src/lease-servers.ts
@@ -4,21 +4,21 @@
 import type {Host} from '@banyandrum/hosts/client.js';
 import type {ServerRef} from '@banyandrum/servers/client.js';
 
-/** The platform's host list as last read; it lags behind the truth. */
+/** The platform's host list as last read; it lags behind the actual state. */
 export interface HostWatch {
   current(): readonly Host[];
 }
 
-/** Why a server is being emptied; null where it isn't. */
+/** Why a server's shards are being moved away. */
 export type LeavingReason = 'removed' | 'drained' | 'host list' | 'own report';
 
-/** A service's name and a cell's index, out of a cell's id. */
+/** The parts of a cell id: the service's name and the cell's index. */
 export interface CellName {
   readonly service: string;
   readonly index: number;
 }
 
-/** Splits `holds/0` into its parts. */
+/** Splits a cell id such as `holds/0` into its parts. */
 export function parseCell(cell: CellId): CellName {
   const slash = cell.lastIndexOf('/');
   return {
@@ -28,8 +28,8 @@
 }
 
 /**
- * The servers that fall to a cell: those of its service, sorted by name, in
- * turn to each cell.
+ * The servers of a cell. The servers of a service, sorted by name, are dealt
+ * out to its cells in round-robin order.
  *
  * @example
  * ```ts
@@ -48,15 +48,15 @@
     .filter((_, position) => position % cells === index);
 }
 
-/** What a lease needs to know of a server. */
+/** Extracts the fields of a server that its lease needs. */
 export function toServerRef(server: Server): ServerRef {
   const {name, service, address, slots, connections} = server;
   return {name, service, address, slots, connections};
 }
 
 /**
- * Why a server is to be emptied, by whichever of the lagging signals comes
- * first, or null.
+ * Why a server's shards are to be moved away, or null. Each of the signals may
+ * lag behind, so the first one that says so counts.
  */
 export function leavingReason(
   server: ServerRef,
--- a/packages/ownership/src/lease-set.ts
+++ b/packages/ownership/src/lease-set.ts
@@ -1,55 +1,55 @@
 import type {Fence, ShardId} from '@banyandrum/base/ids.js';
 import type {Authority} from './authority.js';
 
-/** What the next order names. */
+/** The set of shards that a lease order names, with its fence. */
 export interface FencedShards {
   readonly fence: Fence;
   readonly shards: ReadonlySet<ShardId>;
 }
 
-/** The shards that a server is to hold, and the fence that goes with them. */
+/** The shards assigned to one server, and the fence of that set. */
 export interface LeaseSet {
   assigned(): ReadonlySet<ShardId>;
   add(shards: Iterable<ShardId>): void;
-  /** Returns whether any of them was there. */
+  /** Returns whether any of the shards was in the set. */
   remove(shards: Iterable<ShardId>): boolean;
-  /** Whether the set differs from the one last taken. */
+  /** Whether the set differs from the one that `next` last returned. */
   hasChanged(): boolean;
-  /** The set for an order; its fence is a new one where it has changed. */
+  /** The set for the next order, with a new fence if the set has changed. */
   next(): FencedShards;
-  /** The fence of the set last taken. */
+  /** The fence of the set that `next` last returned. */
   fence(): Fence;
-  /** Raises the next fence above one that the server knows of this epoch. */
+  /** Makes the next fence higher than `known`, if that is of this epoch. */
   raiseFenceAbove(known: Fence | null): void;
 }
 
 /**
- * Makes the set of one server, empty. Each change of the set gets a higher
- * sequence, so that a server that checks fences refuses older sets; a renewal
- * repeats the last one.
+ * Creates an empty set for one server. Each change of the set raises the
+ * sequence number of the fence, so that a server that checks fences rejects
+ * older sets. A renewal repeats the last fence.
  *
  * @example
  * ```ts
  * set.add(['12']);
- * const {fence, shards} = set.take();
+ * const {fence, shards} = set.next();
  * ```
  */
 export function createLeaseSet(authority: Authority): LeaseSet {
-  const wanted = new Set<ShardId>();
+  const assigned = new Set<ShardId>();
   let changed = true;
   let sequence = 0;
-  let taken: ReadonlySet<ShardId> = new Set();
+  let lastShards: ReadonlySet<ShardId> = new Set();
   let fence: Fence = {epoch: authority.epoch, sequence};
 
   return {
-    assigned: () => wanted,
+    assigned: () => assigned,
     add(shards) {
-      for (const shard of shards) wanted.add(shard);
+      for (const shard of shards) assigned.add(shard);
       changed = true;
     },
     remove(shards) {
       let found = false;
-      for (const shard of shards) found = wanted.delete(shard) || found;
+      for (const shard of shards) found = assigned.delete(shard) || found;
       changed ||= found;
       return found;
     },
@@ -58,11 +58,11 @@
       const {epoch} = authority;
       if (changed) {
         sequence++;
-        taken = new Set(wanted);
+        lastShards = new Set(assigned);
       }
       if (changed || fence.epoch !== epoch) fence = {epoch, sequence};
       changed = false;
-      return {fence, shards: taken};
+      return {fence, shards: lastShards};
     },
     fence: () => fence,
     raiseFenceAbove(known) {
--- a/packages/ownership/src/lease-task.ts
+++ b/packages/ownership/src/lease-task.ts
@@ -10,7 +10,7 @@
 import {createLeaseSet} from './lease-set.js';
 import type {LeaseTiming} from './lease-timing.js';
 
-/** What the last exchange with the server came to. */
+/** Result of the last exchange with the server. */
 export type LeaseHealth = 'new' | 'ok' | 'failing';
 
 export interface LeaseTaskOptions {
@@ -21,63 +21,74 @@
   readonly clock: Clock;
   readonly timing: LeaseTiming;
   readonly log: Logger;
-  /** How long a former leader's orders may count at it. */
+  /** Limit on leases that former leaders granted at the server. */
   readonly formerLeases: FormerLeaseLimit;
-  /** Ends the task. */
+  /** Stops the task. */
   readonly signal: AbortSignal;
-  /** Called after each exchange, and whether the server's health changed. */
+  /** Called after each exchange; `changed`: the server's health changed. */
   readonly onExchange: (task: LeaseTask, changed: boolean) => void;
-  /** Called with what a run of the server held when first asked. */
+  /** Called with the shards that a server instance holds at first contact. */
   readonly onReport: (task: LeaseTask, shards: readonly ShardId[]) => void;
 }
 
-/** The lease of one server: the only place that sends it orders. */
+/** Keeps the lease of one server; nothing else sends it lease orders. */
 export interface LeaseTask {
   readonly server: ServerRef;
   readonly checksFences: boolean;
   /** The lease in force as last acknowledged, or null. */
   grant(): Grant | null;
-  /** The fence of the newest order, for requests. */
+  /** The fence of the latest order; requests carry it. */
   fence(): Fence;
   health(): LeaseHealth;
-  /** When this run of the server got its first lease here, or null. */
+  /** When this server instance acknowledged its first lease, or null. */
   firstGrantAt(): number | null;
-  /** Shards that the next order names. */
+  /** Shards that the next order will name. */
   assigned(): ReadonlySet<ShardId>;
   /**
-   * Adds shards to the next order. The caller has recorded them as this
+   * Adds shards to the next order. The caller must have recorded them as this
    * server's, and no other server may hold them.
    */
   add(shards: Iterable<ShardId>): void;
-  /** Takes shards out of the next order. */
+  /** Removes shards from the next order. */
   remove(shards: Iterable<ShardId>): void;
-  /** Drops the shard; resolves once the server surely doesn't hold it. */
+  /** Removes the shard; resolves once the server certainly doesn't hold it. */
   release(shard: ShardId): Promise<void>;
   /**
-   * Resolves to true once the server has acknowledged the shard, to false
-   * where it doesn't answer.
+   * Resolves to true once the server has acknowledged the shard, to false if
+   * the server fails to answer.
    */
   waitUntilGranted(shard: ShardId): Promise<boolean>;
-  /** When the server surely doesn't hold the shard; past: not now. */
+  /**
+   * From when the server certainly doesn't hold the shard; in the past if it
+   * doesn't hold it now.
+   */
   mayHoldUntil(shard: ShardId): number;
+  /** From when the server certainly holds no shard at all. */
   mayHoldAnyUntil(): number;
-  /** Until when a former leader's orders may count; past: none does. */
+  /**
+   * Until when leases granted by former leaders may be in force; in the
+   * past if none is.
+   */
   formerLeaseExpiry(): number;
   limitFormerLeases(limit: FormerLeaseLimit): void;
   /** Runs until the signal aborts. */
   run(): Promise<void>;
 }
 
-/** Retry pauses after a failed exchange: doubled up to the renewal period. */
+/**
+ * Delay before the first retry of a failed exchange; doubled for each further
+ * retry, up to the renewal period.
+ */
 const FIRST_RETRY_MS = 50;
 
-/** How soon a leader that may not act looks again. */
+/** Interval at which a leader without authority checks it again. */
 const AUTHORITY_RETRY_MS = 50;
 
 /**
- * Makes the lease of one server. It fetches a reading of the server's clock,
- * orders the whole set of shards with that reading as echo, and repeats both
- * in one exchange every renewal period. One order is in flight at a time.
+ * Creates the lease task of one server. It fetches a reading of the server's
+ * clock, then sends an order with the whole set of shards that echoes the
+ * reading. The acknowledgement contains a new reading, so that one exchange
+ * per renewal period suffices. At most one order is in flight.
  *
  * @example
  * ```ts
@@ -88,14 +99,14 @@
  */
 export function createLeaseTask(options: LeaseTaskOptions): LeaseTask {
   const {server, clock, timing, signal, checksFences} = options;
-  const holding = createLeaseTracker(checksFences, options.formerLeases);
+  const tracker = createLeaseTracker(checksFences, options.formerLeases);
   const set = createLeaseSet(options.authority);
   const changed = createCondition(clock);
-  const answered = createCondition(clock);
+  const exchanged = createCondition(clock);
   let health: LeaseHealth = 'new';
   const exchange = createLeaseExchange({
     ...options,
-    tracker: holding,
+    tracker,
     set,
     onReport: shards => options.onReport(task, shards),
   });
@@ -106,46 +117,46 @@
       const outcome = await exchange.run();
       if (signal.aborted) return;
       failures = outcome === 'failed' ? failures + 1 : 0;
-      note(outcome);
-      const pause = pauseAfter(outcome, failures);
-      if (pause > 0) await changed.wait(pause, signal);
+      recordOutcome(outcome);
+      const delayMs = delayAfter(outcome, failures);
+      if (delayMs > 0) await changed.wait(delayMs, signal);
     }
   };
 
-  const note = (outcome: ExchangeOutcome): void => {
+  const recordOutcome = (outcome: ExchangeOutcome): void => {
     const before = health;
     if (outcome === 'ok') health = 'ok';
     if (outcome === 'failed') health = 'failing';
-    answered.notify();
+    exchanged.notify();
     options.onExchange(task, health !== before);
   };
 
-  const pauseAfter = (outcome: ExchangeOutcome, failures: number): number => {
+  const delayAfter = (outcome: ExchangeOutcome, failures: number): number => {
     if (outcome === 'again') return 0;
     if (outcome === 'no-authority') return AUTHORITY_RETRY_MS;
     if (outcome === 'ok') return set.hasChanged() ? 0 : timing.renewMs;
     return Math.min(timing.renewMs, FIRST_RETRY_MS * 2 ** (failures - 1));
   };
 
-  /** Sends a changed set at once, unless the server doesn't answer. */
-  const hurry = (): void => {
+  /** Sends a changed set at once, unless the last exchange failed. */
+  const sendSoon = (): void => {
     if (health === 'ok') changed.notify();
   };
 
   const release = async (shard: ShardId): Promise<void> => {
     task.remove([shard]);
     while (!signal.aborted) {
-      const until = holding.mayHoldUntil(shard);
+      const until = tracker.mayHoldUntil(shard);
       const now = clock.now();
       if (until <= now) return;
-      await answered.wait(until - now, signal);
+      await exchanged.wait(until - now, signal);
     }
   };
 
-  const granted = async (shard: ShardId): Promise<boolean> => {
+  const waitUntilGranted = async (shard: ShardId): Promise<boolean> => {
     while (!signal.aborted && health === 'ok') {
       if (exchange.grant()?.shards.has(shard)) return true;
-      await answered.wait(Infinity, signal);
+      await exchanged.wait(Infinity, signal);
     }
     return false;
   };
@@ -160,19 +171,19 @@
     assigned: set.assigned,
     add(shards) {
       set.add(shards);
-      hurry();
+      sendSoon();
     },
     remove(shards) {
-      if (set.remove(shards)) hurry();
+      if (set.remove(shards)) sendSoon();
     },
     release,
-    waitUntilGranted: granted,
-    mayHoldUntil: holding.mayHoldUntil,
-    mayHoldAnyUntil: holding.mayHoldAnyUntil,
-    formerLeaseExpiry: holding.formerLeaseExpiry,
+    waitUntilGranted,
+    mayHoldUntil: tracker.mayHoldUntil,
+    mayHoldAnyUntil: tracker.mayHoldAnyUntil,
+    formerLeaseExpiry: tracker.formerLeaseExpiry,
     limitFormerLeases(limit) {
-      holding.limitFormerLeases(limit);
-      answered.notify();
+      tracker.limitFormerLeases(limit);
+      exchanged.notify();
     },
     run,
   };
--- a/packages/ownership/src/lease-timing.ts
+++ b/packages/ownership/src/lease-timing.ts
@@ -1,34 +1,37 @@
 import type {Timing} from '@banyandrum/config/rules.js';
 
-/** Times of a lease, in ms, derived from the rules. */
+/** Durations of the lease protocol in ms, derived from the configured rules. */
 export interface LeaseTiming {
   readonly renewMs: number;
   readonly ttlMs: number;
-  /** Drift of two clocks over a lease, and the readings' coarseness. */
+  /**
+   * Safety margin: drift between two clocks over one lease, plus the
+   * granularity of timers and clock readings.
+   */
   readonly marginMs: number;
-  /** How long an order may go without an answer. */
+  /** Timeout for the reply to a lease order. */
   readonly orderTimeoutMs: number;
-  /** Greatest relative drift between two clocks. */
+  /** Maximum relative drift between two clocks. */
   readonly drift: number;
 }
 
-/** Covers timers and clock readings, which are no finer than this. */
+/** Granularity of timers and clock readings. */
 const CLOCK_GRANULARITY_MS = 20;
 
 /**
- * Shorter than the renewal period, so that two orders can be lost before the
- * lease ends.
+ * Order timeout as a fraction of the renewal period. Below 1, so that two
+ * orders can be lost before the lease expires.
  */
 const ORDER_TIMEOUT_FACTOR = 0.6;
 
 const PPM = 1e6;
 
 /**
- * Derives the times of a lease from the rules.
+ * Derives the lease durations from the configured rules.
  *
  * @example
  * ```ts
- * const {marginMs} = createLeaseTiming(rules.timing); // 40 of 2000 ms
+ * const {marginMs} = createLeaseTiming(rules.timing); // 40 for a 2000 ms lease
  * ```
  */
 export function createLeaseTiming(timing: Timing): LeaseTiming {
--- a/packages/ownership/src/load-watch.ts
+++ b/packages/ownership/src/load-watch.ts
@@ -7,26 +7,27 @@
 import {createSmoothLoads} from '@banyandrum/placement/smooth-loads.js';
 import type {CellLoad, LoadSource, ServerObservation} from './led-cell.js';
 
-/** The load of one cell, by its leader's own observation, smoothed. */
+/** Smoothed load of one cell, as its leader observes it. */
 export interface LoadMonitor {
-  /** Reads a new period where the last one is over; null where it isn't. */
+  /** Reads the load of a new period; null until the current one is over. */
   read(slotsOf: (server: string) => number | null): CellLoad | null;
-  /** Slots that the shard keeps busy. */
+  /** Average number of slots that the shard keeps busy. */
   busyOf(shard: ShardId): number;
-  /** Slots that the server proved able to keep busy. */
+  /** Slots that the server has been observed to sustain. */
   capacityOf(server: string, slots: number): number;
-  /** What was last seen of a server. */
+  /** The server's observation of the last period. */
   lastObservation(server: string): ServerObservation | undefined;
 }
 
 const PERIOD_MS = 1000;
 
 /**
- * Makes the watch of one cell's load.
+ * Creates the load monitor of one cell.
  *
  * @example
  * ```ts
- * const load = watch.read(server => tasks.get(server)?.server.slots ?? null);
+ * const slotsOf = server => tasks.get(server)?.server.slots ?? null;
+ * const load = loadMonitor.read(slotsOf);
  * if (load !== null) plan(load);
  * ```
  */
@@ -35,18 +36,18 @@
   source: LoadSource,
   clock: Clock,
 ): LoadMonitor {
-  const smooth = createSmoothLoads();
+  const smoothedLoads = createSmoothLoads();
   const estimates = new Map<string, CapacityEstimate>();
   const capacities = new Map<string, number>();
   let servers = new Map<string, ServerObservation>();
   let readAt = -Infinity;
 
-  const noteServer = (
-    sight: ServerObservation,
+  const updateCapacity = (
+    observation: ServerObservation,
     slots: number,
     periodMs: number,
   ): void => {
-    const {server, busy, shed} = sight;
+    const {server, busy, shed} = observation;
     const estimate = estimates.get(server) ?? createCapacityEstimate();
     estimates.set(server, estimate);
     capacities.set(server, estimate.note({slots, busy, shed}, periodMs));
@@ -63,15 +64,17 @@
         shard,
         busy,
       ]);
-      smooth.note(new Map(byShard), periodMs);
-      servers = new Map(load.servers.map(sight => [sight.server, sight]));
-      for (const sight of load.servers) {
-        const slots = slotsOf(sight.server);
-        if (slots !== null) noteServer(sight, slots, periodMs);
+      smoothedLoads.note(new Map(byShard), periodMs);
+      servers = new Map(
+        load.servers.map(observation => [observation.server, observation]),
+      );
+      for (const observation of load.servers) {
+        const slots = slotsOf(observation.server);
+        if (slots !== null) updateCapacity(observation, slots, periodMs);
       }
       return load;
     },
-    busyOf: smooth.get,
+    busyOf: smoothedLoads.get,
     capacityOf: (server, slots) =>
       Math.min(slots, capacities.get(server) ?? slots),
     lastObservation: server => servers.get(server),
--- a/packages/ownership/src/memo.ts
+++ b/packages/ownership/src/memo.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the last result for as long as the arguments are the same objects.
- * The host list, the inventory and the views are replaced when they change;
- * what is derived from all of them must not be made anew at each tick.
+ * Memoizes the last result of `make` for as long as the arguments are the same
+ * objects. The host list, the inventory and the views are replaced when they
+ * change, so what is derived from them need not be recomputed at each tick.
  *
  * @example
  * ```ts
--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -11,19 +11,20 @@
 import type {Membership} from './membership.js';
 import {examineLeader} from './standby-watch.js';
 
-/** What the watch of cells without a role in them works with. */
+/** Dependencies of the watch over cells in which this process has no role. */
 export interface BackupWatchOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly claimer: Claimer;
 }
 
-/** How many routers watch a cell beside its leader and its standby. */
+/** How many routers watch a cell besides its leader and its standby. */
 const MAX_WATCHERS = 2;
 
 /**
- * Tells the leaders that this process watches as a third router; looks
- * through all views only after one of them or a router has changed.
+ * Creates a function that returns the leaders that this process watches as a
+ * third router. It scans all views only after a view or the set of routers has
+ * changed.
  *
  * @example
  * ```ts
@@ -44,9 +45,9 @@
 }
 
 /**
- * Watches one leader for the cells in which this process has no role, and
- * claims those whose leader *and* standby are lost; until the signal aborts.
- * A leader that is lost alone is its standby's affair.
+ * Watches one leader on behalf of the cells in which this process has no role,
+ * and claims those whose leader *and* standby are lost, until the signal
+ * aborts. If only the leader is lost, its standby takes over.
  */
 export async function runBackupWatch(
   options: BackupWatchOptions,
@@ -58,20 +59,26 @@
   let lostSince: number | null = null;
   while (!signal.aborted) {
     await sleep(clock, timing.watchMs, signal);
-    const proof = await checkLeader(ctx, leader);
+    const leaderState = await checkLeader(ctx, leader);
     if (signal.aborted) return;
-    if (proof === 'there' || proof === 'paused') {
+    if (leaderState === 'there' || leaderState === 'paused') {
       lostSince = null;
       continue;
     }
     lostSince ??= clock.now();
     const lostFor = clock.now() - lostSince;
-    const due = viewsDueForClaim(options, leader, lostFor, proof === 'gone');
+    const dueViews = viewsDueForClaim(
+      options,
+      leader,
+      lostFor,
+      leaderState === 'gone',
+    );
     const plans = await Promise.all(
-      due.map(view => planClaim(options, view, proof === 'gone')),
+      dueViews.map(view => planClaim(options, view, leaderState === 'gone')),
     );
-    const wanted = plans.filter(plan => plan !== null);
-    if (wanted.length > 0 && !signal.aborted) await claimer.claim(wanted);
+    const claimPlans = plans.filter(plan => plan !== null);
+    if (claimPlans.length > 0 && !signal.aborted)
+      await claimer.claim(claimPlans);
   }
 }
 
@@ -86,7 +93,7 @@
   return examineLeader(ctx, leader);
 }
 
-/** Views whose turn has come for this router by its rank. */
+/** Views that this router may claim by now, given its rank as a watcher. */
 function viewsDueForClaim(
   options: BackupWatchOptions,
   leader: Incarnation,
@@ -96,13 +103,14 @@
   const {ctx, membership} = options;
   const {clock, store, timing} = ctx;
   const ring = membership.ring();
-  // Without the log at hand no claim can follow, so don't end a consent.
+  // No claim can succeed while the log is unreachable. Asking the standby to
+  // withdraw would then end its consent in vain.
   if (clock.now() - store.confirmedAt() >= timing.logPatienceMs) return [];
   return [...store.current().views.values()].filter(view => {
     if (!sameIncarnation(view.leader, leader)) return false;
     const rank = watchRank(ctx, ring, view);
     if (rank === null) return false;
-    // The standby, if there is one, is to have its chance first.
+    // A standby that may still be running gets time to take over first.
     const isAlone = view.standby === null || isGone(ctx, view.standby);
     const graceMs = isLeaderGone && isAlone ? 0 : 2 * timing.suspicionMs;
     return lostForMs >= graceMs + rank * timing.rankMs;
@@ -117,9 +125,9 @@
   const {ctx, membership} = options;
   const standbyState = await checkStandby(ctx, view);
   if (standbyState === 'serving') return null;
-  const isProved = isLeaderGone || standbyState === 'over';
-  if (!isProved && !checksFences(ctx, view)) {
-    ctx.log.warn('leader and standby lost; attest their hosts if so', {
+  const isConfirmed = isLeaderGone || standbyState === 'over';
+  if (!isConfirmed && !checksFences(ctx, view)) {
+    ctx.log.warn('leader and standby unresponsive; attest if lost', {
       cell: view.cell,
       leader: view.leader.host,
       standby: view.standby?.host,
@@ -143,9 +151,12 @@
 }
 
 /**
- * - `serving`: it is there and will take over itself, if need be.
- * - `over`: there is none, it is gone, or it withdrew and cannot claim.
- * - `silent`: nobody knows.
+ * State of a cell's standby, as seen by a watcher.
+ *
+ * - `serving`: it is running and takes over itself if necessary.
+ * - `over`: there is none, it has ended, or it withdrew its consent and cannot
+ *   claim the cell.
+ * - `silent`: unknown, as it doesn't answer.
  */
 type StandbyState = 'serving' | 'over' | 'silent';
 
@@ -157,7 +168,7 @@
   const {authorityMs, answerMs} = ctx.timing;
   if (standby === null || isGone(ctx, standby)) return 'over';
   const ask = {cell, epoch};
-  // Longer than an answer takes: the standby probes its leader first.
+  // Twice the usual timeout, as the standby probes its leader first.
   const res = await ctx.peers.ask(standby, 'withdraw', ask, 2 * answerMs);
   if (res.ok) {
     const {withdrawnForMs} = res.val;
@@ -165,15 +176,15 @@
     return isStuck ? 'over' : 'serving';
   }
   if (res.val.kind === 'other-incarnation') return 'over';
-  const proof = await examineLeader(ctx, standby);
-  if (proof === 'gone') return 'over';
-  return proof === 'silent' ? 'silent' : 'serving';
+  const probed = await examineLeader(ctx, standby);
+  if (probed === 'gone') return 'over';
+  return probed === 'silent' ? 'silent' : 'serving';
 }
 
 /**
- * Whether this process reaches at least half of the other routers. One that
- * is cut off from everybody but the log would else claim cells whose leaders
- * are well.
+ * Whether this process reaches at least half of the other routers. Otherwise a
+ * router that can reach only the log would claim cells whose leaders are
+ * healthy.
  */
 async function reachesHalfOfRouters(
   {membership}: BackupWatchOptions,
@@ -189,7 +200,7 @@
   return reached.length * 2 >= others.length;
 }
 
-/** This router's place among those that watch the cell, or null. */
+/** This router's rank among those that watch the cell, or null. */
 function watchRank(
   {self}: OwnershipContext,
   ring: Ring,
@@ -197,24 +208,27 @@
 ): number | null {
   if (sameIncarnation(view.leader, self)) return null;
   if (sameIncarnation(view.standby, self)) return null;
-  const hasRole = ({host}: RouterHost): boolean =>
+  const isLeaderOrStandby = ({host}: RouterHost): boolean =>
     host === view.leader.host || host === view.standby?.host;
-  const isOther = (router: RouterHost): boolean => !hasRole(router);
+  const isOther = (router: RouterHost): boolean => !isLeaderOrStandby(router);
   const order = [...pickFromRing(view.cell, ring, MAX_WATCHERS, isOther)];
-  // A host with a role comes last: it may be lost, or back as another run.
-  // Looking for one goes round the whole ring, so only where it is needed.
+  // The hosts of the leader and the standby rank last: they may be lost, or
+  // restarted as another incarnation. Finding them takes a pass over the whole
+  // ring, so it is done only if needed.
   if (order.length < MAX_WATCHERS) {
-    order.push(...pickFromRing(view.cell, ring, MAX_WATCHERS, hasRole));
+    order.push(
+      ...pickFromRing(view.cell, ring, MAX_WATCHERS, isLeaderOrStandby),
+    );
   }
   const rank = order.findIndex(({host}) => host === self.host);
   if (rank >= 0 && rank < MAX_WATCHERS) return rank;
-  // Back as another run at the address of the leader or the standby, this
-  // process needs no message to know that the old one is over. It comes last,
-  // for the others may be lost as well.
-  const isBack = [view.leader, view.standby].some(
-    run => run?.address === self.address,
+  // A process that restarted at the address of the leader or the standby knows
+  // without any message that the old process has ended. It watches too, with
+  // the last rank, because the other watchers may be lost as well.
+  const isRestarted = [view.leader, view.standby].some(
+    incarnation => incarnation?.address === self.address,
   );
-  return isBack ? MAX_WATCHERS : null;
+  return isRestarted ? MAX_WATCHERS : null;
 }
 
 function checksFences(ctx: OwnershipContext, {cell}: View): boolean {
--- a/packages/ownership/src/pauses.ts
+++ b/packages/ownership/src/pauses.ts
@@ -1,9 +1,9 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import {sleep} from '@banyandrum/base/clock.js';
 
-/** Notices that this process itself stood still. */
+/** Detects that this process itself was paused. */
 export interface PauseDetector {
-  /** When the newest pause ended; `-Infinity` before the first. */
+  /** When the latest pause ended; `-Infinity` before the first. */
   resumedAt(): number;
 }
 
@@ -11,32 +11,33 @@
 const PAUSE_THRESHOLD_MS = 250;
 
 /**
- * Watches for pauses of this process. After one, timers run before the
- * messages that wait in the sockets, so the others seem to have been silent
- * though they were not. A pause shows as a gap between two beats.
+ * Creates a detector for pauses of this process. After a pause, timers run
+ * before the messages that wait in the sockets are read, so other processes
+ * seem to have been silent although they were not. A pause shows as a gap
+ * between two periodic checks.
  *
  * @example
  * ```ts
- * const silentFor = now - Math.max(heardAt, pauses.awakeSince());
+ * const silentFor = now - Math.max(heardAt, pauses.resumedAt());
  * ```
  */
 export function createPauseDetector(
   clock: Clock,
   signal: AbortSignal,
 ): PauseDetector {
-  let lastBeat = clock.now();
-  let awakeSince = -Infinity;
+  let checkedAt = clock.now();
+  let resumedAt = -Infinity;
 
-  // Also called by whoever asks: its timer may run before the next beat.
-  const beat = (): void => {
+  // Also called by `resumedAt`: a caller's timer may run before the next check.
+  const check = (): void => {
     const now = clock.now();
-    if (now - lastBeat > PAUSE_THRESHOLD_MS) awakeSince = now;
-    lastBeat = now;
+    if (now - checkedAt > PAUSE_THRESHOLD_MS) resumedAt = now;
+    checkedAt = now;
   };
 
   const run = async (): Promise<void> => {
     while (!signal.aborted) {
-      beat();
+      check();
       await sleep(clock, CHECK_INTERVAL_MS, signal);
     }
   };
@@ -44,8 +45,8 @@
 
   return {
     resumedAt() {
-      beat();
-      return awakeSince;
+      check();
+      return resumedAt;
     },
   };
 }
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -26,35 +26,38 @@
   readonly store: StateStore;
   readonly loadMonitor: LoadMonitor;
   readonly log: Logger;
-  /** Announces that something may have to be placed. */
+  /** Notified when a shard may have to be placed. */
   readonly changed: Condition;
-  /** When every order of a former leader has lapsed. */
+  /** When every lease that a former leader granted has expired. */
   readonly formerLeaseExpiry: () => number;
-  /** Another planner, for experiments. */
+  /** Creates an alternative planner, for experiments. */
   readonly createPlanner?: () => Planner;
 }
 
-/** Decides who gets which shard, and carries it out. */
+/** Decides which server gets which shard, and carries the changes out. */
 export interface Placer {
-  /** Runs until the signal aborts and no change is under way. */
+  /** Runs until the signal aborts and no change is in progress. */
   run(): Promise<void>;
-  /** Servers that got their lease before this time start warm. */
+  /** Servers first leased before this time skip the slow start. */
   warmUntil(): number;
 }
 
 const MAX_WAIT_MS = 500;
 
-/** Moves for balance are planned this often. */
+/** Interval between plans that include moves for balance. */
 const BALANCE_INTERVAL_MS = 2000;
 
-/** Handovers at once: each stops one shard for a moment. */
+/** Maximum concurrent handovers; each briefly stops dispatch of one shard. */
 const MAX_HANDOVERS = 8;
 
-/** Servers whose lease comes up this soon after the leader count as its first. */
+/**
+ * Servers that get their lease within this time after the leader started count
+ * as already warm.
+ */
 const WARM_START_MS = 3000;
 
 /**
- * Makes the placer of one cell.
+ * Creates the placer of one cell.
  *
  * @example
  * ```ts
@@ -62,18 +65,10 @@
  * ```
  */
 export function createPlacer(options: PlacerOptions): Placer {
-  const {
-    map,
-    registry,
-    tasks,
-    clock,
-    signal,
-    log,
-    loadMonitor: watch,
-    locator,
-  } = options;
+  const {map, registry, tasks, clock, signal, log, loadMonitor, locator} =
+    options;
   const {cell} = options.authority;
-  const hotShards = createHotKeyTracker(map);
+  const hotKeyTracker = createHotKeyTracker(map);
   const planner = (options.createPlanner ?? createPlanner)();
   const running = new Set<Promise<void>>();
   let handovers = 0;
@@ -84,14 +79,16 @@
     warmUntil = clock.now() + WARM_START_MS;
     while (!signal.aborted) {
       registry.refresh();
-      reclaimLapsed();
-      const load = watch.read(name => tasks.get(name)?.server.slots ?? null);
+      freeExpired();
+      const load = loadMonitor.read(
+        name => tasks.get(name)?.server.slots ?? null,
+      );
       const input = createInput();
-      for (const move of plan(input)) carryOut(move);
-      markStuck(input);
+      for (const move of plan(input)) applyMove(move);
+      updateStuck(input);
       if (load !== null) adjustHotKeys(load, input);
       locator.settle();
-      await options.changed.wait(untilNextLapse(), signal);
+      await options.changed.wait(msUntilNextExpiry(), signal);
     }
     await Promise.all(running);
   };
@@ -100,7 +97,7 @@
     createPlanInput({
       map,
       registry,
-      loads: watch,
+      loads: loadMonitor,
       weights: options.store.current().rules.weights,
       now: clock.now(),
       warmUntil,
@@ -113,32 +110,33 @@
     return planner.plan(input);
   };
 
-  /** Takes shards back from servers that surely hold them no longer. */
-  const reclaimLapsed = (): void => {
+  /** Frees shards of servers whose lease has certainly expired. */
+  const freeExpired = (): void => {
     for (const slot of map.all()) {
       if (slot.server === null || slot.busy) continue;
-      if (!isLapsed(slot, slot.server)) continue;
-      log.info('lease lapsed', {cell, shard: slot.shard, server: slot.server});
-      freeShard(options, slot, `the lease of ${slot.server} lapsed`);
+      if (!isExpired(slot, slot.server)) continue;
+      log.info('lease expired', {cell, shard: slot.shard, server: slot.server});
+      freeShard(options, slot, `the lease of ${slot.server} expired`);
     }
   };
 
-  const isLapsed = (slot: Slot, server: string): boolean => {
+  const isExpired = (slot: Slot, server: string): boolean => {
     const now = clock.now();
     const task = tasks.get(server);
-    // Taken over with the table, but not with the server: it wasn't in the
-    // inventory, or had another address. Only the former leader's orders count.
+    // The shard came with the former leader's table, but its server was not in
+    // the inventory or had another address. So this leader has leased it
+    // nothing, and only the former leader's leases count.
     if (!task?.assigned().has(slot.shard))
       return options.formerLeaseExpiry() <= now;
     if (task.health() === 'ok') return false;
     return task.mayHoldUntil(slot.shard) <= now;
   };
 
-  const untilNextLapse = (): number => {
+  const msUntilNextExpiry = (): number => {
     const now = clock.now();
     let next = now + MAX_WAIT_MS;
-    const foreign = options.formerLeaseExpiry();
-    if (foreign > now) next = Math.min(next, foreign);
+    const formerExpiry = options.formerLeaseExpiry();
+    if (formerExpiry > now) next = Math.min(next, formerExpiry);
     for (const task of tasks.values()) {
       if (task.health() === 'ok') continue;
       const until = task.mayHoldAnyUntil();
@@ -147,11 +145,11 @@
     return next - now;
   };
 
-  const carryOut = (move: Move): void => {
+  const applyMove = (move: Move): void => {
     const slot = map.get(move.shard);
     if (slot === undefined || slot.busy) return;
     if (slot.server !== null) return startHandover(slot, move.to, move.reason);
-    start([slot], grantShard(options, slot, move.to, move.reason));
+    runChange([slot], grantShard(options, slot, move.to, move.reason));
   };
 
   const startHandover = (slot: Slot, to: string, reason: string): void => {
@@ -162,27 +160,27 @@
     handovers++;
     log.info('handing over', {cell, shard: slot.shard, to, reason});
     const moved = handOver(options, slot, {to, reason, mustGo});
-    start([slot], countUntil(moved));
+    runChange([slot], countHandover(moved));
   };
 
   /**
-   * A handover that waits for long requests counts no longer: else a few of
-   * them would keep a leaving server's other shards there, and new work with
-   * them, for minutes.
+   * Counts a handover towards the limit, but only for a while if it waits for
+   * long requests. Otherwise a few such handovers would keep the other shards
+   * of a leaving server there for minutes, with new requests for them.
    */
-  const countUntil = (moved: Promise<void>): Promise<void> => {
-    let counts = true;
-    const uncount = (): void => {
-      if (counts) handovers--;
-      counts = false;
+  const countHandover = (moved: Promise<void>): Promise<void> => {
+    let isCounted = true;
+    const release = (): void => {
+      if (isCounted) handovers--;
+      isCounted = false;
     };
     const cancel = clock.after(PATIENCE_MS, () => {
-      uncount();
+      release();
       options.changed.notify();
     });
     return moved.finally(() => {
       cancel();
-      uncount();
+      release();
     });
   };
 
@@ -191,30 +189,39 @@
     const now = clock.now();
     const total = candidates.reduce((sum, c) => sum + c.capacity, 0);
     const capacity = total / candidates.length;
-    const changes = hotShards.update(load.hotKeys, capacity, watch.busyOf, now);
+    const changes = hotKeyTracker.update(
+      load.hotKeys,
+      capacity,
+      loadMonitor.busyOf,
+      now,
+    );
     for (const pair of changes.split) {
-      log.info('splitting a hot key off', {cell, shard: pair.hot.shard});
-      start([pair.hot, pair.range], splitKey(options, pair));
+      log.info('splitting off a hot key', {cell, shard: pair.hot.shard});
+      runChange([pair.hot, pair.range], splitKey(options, pair));
     }
-    for (const pair of changes.merge) mergeBack(pair);
+    for (const pair of changes.merge) mergeHotKey(pair);
   };
 
-  const mergeBack = (pair: HotKeySplit): void => {
+  const mergeHotKey = (pair: HotKeySplit): void => {
     const {hot, range} = pair;
     if (hot.busy || range.busy) return;
     if (hot.server === range.server) {
-      start([hot, range], mergeKey(options, pair));
+      runChange([hot, range], mergeKey(options, pair));
     } else if (range.server !== null) {
-      startHandover(hot, range.server, 'hot no more: back to its hash range');
+      startHandover(
+        hot,
+        range.server,
+        'key no longer hot; merging into its hash range',
+      );
     }
   };
 
-  /** Keeps the slots out of other changes until this one has ended. */
-  const start = (slots: readonly Slot[], change: Promise<void>): void => {
+  /** Runs a change; no other change touches its shards until it has ended. */
+  const runChange = (slots: readonly Slot[], change: Promise<void>): void => {
     for (const slot of slots) slot.busy = true;
     const ended = change
       .catch((err: unknown) => {
-        log.error('change of ownership failed', {cell, detail: String(err)});
+        log.error('ownership change failed', {cell, detail: String(err)});
       })
       .finally(() => {
         for (const slot of slots) slot.busy = false;
@@ -224,7 +231,7 @@
     running.add(ended);
   };
 
-  const markStuck = ({candidates}: PlanInput): void => {
+  const updateStuck = ({candidates}: PlanInput): void => {
     const hasCandidate = candidates.some(({readiness}) => readiness > 0);
     for (const slot of map.all()) {
       slot.stuck = slot.server === null && !hasCandidate;
--- a/packages/ownership/src/plan-input.ts
+++ b/packages/ownership/src/plan-input.ts
@@ -15,19 +15,21 @@
   readonly loads: LoadMonitor;
   readonly weights: PlacementWeights;
   readonly now: number;
-  /** Servers that got their lease before this time start warm. */
+  /** Servers first leased before this time skip the slow start. */
   readonly warmUntil: number;
 }
 
-/** Slow start of a server that came later: from this share up to all. */
+/** Readiness at which the slow start of a newly added server begins. */
 const INITIAL_READINESS = 0.25;
+
+/** Time until a newly added server reaches full readiness. */
 const SLOW_START_MS = 30_000;
 
-/** A server that says it is cold is given no more than this share. */
+/** Maximum readiness of a server that reports itself as cold. */
 const COLD_READINESS = 0.5;
 
 /**
- * Puts together what the planner works on.
+ * Builds the input of the placement planner.
  *
  * @example
  * ```ts
@@ -46,8 +48,9 @@
 }
 
 /**
- * The share of its slots that a server may be given: none while it leaves,
- * little at first where it came after the others.
+ * The share of its slots that a server may be assigned. It is 0 while the
+ * server leaves, and rises from `INITIAL_READINESS` for a server that was added
+ * after the others.
  */
 export function readinessOf(
   options: Pick<PlanInputOptions, 'registry' | 'now' | 'warmUntil'>,
@@ -55,16 +58,19 @@
 ): number {
   const {registry, now, warmUntil} = options;
   if (registry.leavingReason(task) !== null) return 0;
-  const since = task.firstGrantAt();
-  if (since === null) return 0;
+  const grantedAt = task.firstGrantAt();
+  if (grantedAt === null) return 0;
   const isCold = registry.probe(task)?.last()?.health === 'cold';
-  const most = isCold ? COLD_READINESS : 1;
-  if (since <= warmUntil) return most;
-  const share = Math.min(1, (now - since) / SLOW_START_MS);
-  return Math.min(most, INITIAL_READINESS + (1 - INITIAL_READINESS) * share);
+  const maxReadiness = isCold ? COLD_READINESS : 1;
+  if (grantedAt <= warmUntil) return maxReadiness;
+  const share = Math.min(1, (now - grantedAt) / SLOW_START_MS);
+  return Math.min(
+    maxReadiness,
+    INITIAL_READINESS + (1 - INITIAL_READINESS) * share,
+  );
 }
 
-/** Only a server whose lease is in force can be given anything. */
+/** Null unless the lease is in force: only then may the server get shards. */
 function toCandidate(
   options: PlanInputOptions,
   task: LeaseTask,
@@ -73,14 +79,14 @@
   if (task.health() !== 'ok' || grant === null) return null;
   if (grant.leaseEnd <= options.now) return null;
   const {name, slots} = task.server;
-  const seen = options.loads.lastObservation(name);
+  const observation = options.loads.lastObservation(name);
   return {
     name,
     slots,
     readiness: readinessOf(options, task),
     capacity: options.loads.capacityOf(name, slots),
-    busy: seen?.busy ?? 0,
-    serviceMs: seen?.serviceMs ?? 0,
+    busy: observation?.busy ?? 0,
+    serviceMs: observation?.serviceMs ?? 0,
   };
 }
 
@@ -88,7 +94,7 @@
   const {shard, movedAt} = slot;
   return {
     shard,
-    // A shard that moves counts at its next server already.
+    // A moving shard already counts towards its next server.
     server: slot.next ?? slot.server,
     load: options.loads.busyOf(shard),
     movedAt,
@@ -97,9 +103,9 @@
 }
 
 /**
- * A shard stays where it is while it changes already, while its server can't
- * be reached (it may come back before its lease lapses), and while a late
- * order of a former leader may still count at its server.
+ * Whether a shard may be moved. It may not while a change of it is in progress,
+ * while its server doesn't answer (it may come back before its lease expires),
+ * and while a lease that a former leader granted may be in force at its server.
  */
 function isMovable(options: PlanInputOptions, slot: Slot): boolean {
   if (slot.busy) return false;
--- a/packages/ownership/src/rebalance.ts
+++ b/packages/ownership/src/rebalance.ts
@@ -8,7 +8,7 @@
 import type {Membership} from './membership.js';
 import {resignCells} from './resignation.js';
 
-/** What planned transfers work with. */
+/** Dependencies of planned leadership transfers. */
 export interface TransferOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
@@ -16,21 +16,22 @@
   readonly leadership: Leadership;
 }
 
-/** A router must lead this many cells more than another to give one away. */
+/** Minimum difference in led cells between two routers for a transfer. */
 const MIN_DIFFERENCE = 2;
 
 /**
- * Evens leadership out, until everything ends: a router that leads clearly
- * more cells than another hands one over to it, and then waits for a while.
- * A new router thus gets its share slowly and without any cell being idle.
+ * Balances leadership among routers until the context's signal aborts. A router
+ * that leads clearly more cells than another hands one over to it, then waits
+ * for an interval. So a new router gets its share gradually, and no cell is
+ * left without a leader.
  */
 export async function runRebalance(options: TransferOptions): Promise<void> {
   const {ctx} = options;
   const {clock, timing, signal} = ctx;
   while (!signal.aborted) {
-    // Apart from the others', which would else all choose the same router.
-    const pauseMs = timing.rebalanceMs * (0.5 + ctx.random());
-    await sleep(clock, pauseMs, signal);
+    // Jitter keeps routers from all choosing the same target at the same time.
+    const delayMs = timing.rebalanceMs * (0.5 + ctx.random());
+    await sleep(clock, delayMs, signal);
     if (!signal.aborted) await transferOneCell(options);
   }
 }
@@ -40,16 +41,17 @@
   const counts = countLedCells(ctx.store.current());
   const countOf = ({host}: {readonly host: string}): number =>
     counts.get(host) ?? 0;
-  const [least] = [...membership.others()].sort(
+  const [leastLoaded] = [...membership.others()].sort(
     (a, b) => countOf(a) - countOf(b) || (a.host < b.host ? -1 : 1),
   );
-  if (!least || countOf(ctx.self) < countOf(least) + MIN_DIFFERENCE) return;
+  if (!leastLoaded || countOf(ctx.self) < countOf(leastLoaded) + MIN_DIFFERENCE)
+    return;
   const movable = leadership.tenures().filter(tenure => tenure.isCleared());
-  const tenure = preferredTenure(least, movable);
-  if (tenure) await transfer(options, tenure, least);
+  const tenure = preferredTenure(leastLoaded, movable);
+  if (tenure) await transfer(options, tenure, leastLoaded);
 }
 
-/** Makes the target the cell's standby first, then resigns in its favour. */
+/** Makes the target the cell's standby, then resigns in its favour. */
 async function transfer(
   options: TransferOptions,
   tenure: Tenure,
--- a/packages/ownership/src/unreached.ts
+++ b/packages/ownership/src/unreached.ts
@@ -11,7 +11,7 @@
   readonly doubt: (tenures: readonly Tenure[], reason: string) => void;
 }
 
-/** Told that a standby's new connections to this leader get no answer. */
+/** Called when a standby's new connections to this leader get no answer. */
 export type UnreachableHandler = (
   standby: Incarnation,
   tenures: readonly Tenure[],
@@ -22,40 +22,43 @@
 type Reachability = 'reached' | 'unreached' | 'unknown';
 
 /**
- * Acts on a standby's word that it cannot reach this leader. Other routers
- * are asked to try: if none of them gets through either, the cells go to the
- * standby; if one does, the fault is the standby's, and another replaces it;
- * if nobody answers, nothing is known and nothing is done.
+ * Creates the handler for a standby's report that it cannot reach this leader.
+ * It asks other routers to probe this one. If all that answer fail as well,
+ * the cells are handed over to the standby. If one succeeds, the fault lies
+ * with the standby, which is replaced. If none answers, the cause is unknown
+ * and nothing is done.
  *
  * @example
  * ```ts
- * const noteUnreached = createUnreached(options);
- * if (answer.unreached) noteUnreached(standby, tenures);
+ * const handleUnreachable = createUnreachableHandler(options);
+ * if (answer.unreached) handleUnreachable(standby, tenures);
  * ```
  */
 export function createUnreachableHandler(
   options: UnreachableHandlerOptions,
 ): UnreachableHandler {
   const {ctx, leadership, doubt} = options;
-  let asking = false;
+  let isExamining = false;
 
   const examine = async (
     standby: Incarnation,
     tenures: readonly Tenure[],
   ): Promise<void> => {
-    const testimony = await askOtherRouters(options, standby);
-    if (testimony === 'unknown') return;
-    if (testimony === 'reached') return doubt(tenures, 'cannot reach us');
+    const reachability = await askOtherRouters(options, standby);
+    if (reachability === 'unknown') return;
+    if (reachability === 'reached') return doubt(tenures, 'cannot reach us');
     const ready = tenures.filter(({holder}) => !holder.hasOpenClaim());
-    ctx.log.warn('nobody reaches this router', {cells: ready.length});
+    ctx.log.warn('other routers cannot reach this router', {
+      cells: ready.length,
+    });
     await resignCells(ctx, leadership, ready);
   };
 
   return (standby, tenures) => {
-    if (asking) return;
-    asking = true;
+    if (isExamining) return;
+    isExamining = true;
     void examine(standby, tenures).finally(() => {
-      asking = false;
+      isExamining = false;
     });
   };
 }
@@ -70,7 +73,7 @@
     .map(router => ({router, order: ctx.random()}))
     .sort((a, b) => a.order - b.order)
     .slice(0, MAX_ROUTERS_ASKED);
-  const said = await Promise.all(
+  const answers = await Promise.all(
     others.map(async ({router}): Promise<Reachability> => {
       const found = await membership.find(router);
       if (found === null) return 'unknown';
@@ -80,6 +83,6 @@
       return res.val.reached ? 'reached' : 'unreached';
     }),
   );
-  if (said.includes('reached')) return 'reached';
-  return said.includes('unreached') ? 'unreached' : 'unknown';
+  if (answers.includes('reached')) return 'reached';
+  return answers.includes('unreached') ? 'unreached' : 'unknown';
 }
