--- a/packages/ownership/test/lease-faults.test.ts
+++ b/packages/ownership/test/lease-faults.test.ts
@@ -12,7 +12,7 @@
 } from './lease-fixture.js';
 
 const CELL = 'holds/0';
-const KINDS = [true, false];
+const CHECKS_FENCES = [true, false];
 
 interface RunningCluster {
   readonly fixture: Fixture;
@@ -23,20 +23,21 @@
 
 async function startCluster(checksFences: boolean): Promise<RunningCluster> {
   const fixture = createFixture({checksFences});
-  const led = fixture.startLeader();
+  const leader = fixture.startLeader();
   await fixture.advance(5000);
-  return {fixture, leader: led, key: keyOf(Number(led.shardsOf('a')[0]))};
+  return {fixture, leader, key: keyOf(Number(leader.shardsOf('a')[0]))};
 }
 
-/** Waits for something; yields how long it took, in ms. */
+/** Advances the clock until the condition holds; resolves to the ms it took. */
 async function waitUntil(
   {fixture}: Pick<RunningCluster, 'fixture'>,
-  happened: () => boolean,
+  condition: () => boolean,
 ): Promise<number> {
   const since = fixture.clock.now();
-  while (!happened()) {
+  while (!condition()) {
     await fixture.advance(20);
-    if (fixture.clock.now() > since + 20_000) throw new Error('in vain');
+    if (fixture.clock.now() > since + 20_000)
+      throw new Error('condition not met within 20 s');
   }
   return fixture.clock.now() - since;
 }
@@ -44,250 +45,266 @@
 async function verifyAndStop(
   t: Test,
   fixture: Fixture,
-  led: TestLeader,
+  leader: TestLeader,
 ): Promise<void> {
   t.same([...fixture.violations], []);
-  await fixture.stop(led);
+  await fixture.stop(leader);
 }
 
-// A server's host dies. Callers of its keys wait: its lease has to lapse
-// before anybody else may own them. Then they are served elsewhere, and no
-// key of the other servers moves.
+// A server's host fails. Requests for its keys wait until its lease expires,
+// because no other server may own the keys before that. Then they are served
+// by other servers, and no key of the other servers moves.
 void tap.test('server lost', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
-    const before = led.owners();
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
+    const before = leader.owners();
     fixture.fakes.get('a').fate = () => ({lost: true});
-    await waitUntil({fixture}, () => led.locationOf(key) !== 'a');
-    t.equal(led.locationOf(key), 'moving');
-    const took = await waitUntil({fixture}, () => led.owners().size === SHARDS);
+    await waitUntil({fixture}, () => leader.locationOf(key) !== 'a');
+    t.equal(leader.locationOf(key), 'moving');
+    const took = await waitUntil(
+      {fixture},
+      () => leader.owners().size === SHARDS,
+    );
     t.ok(took < 1200, `granted ${took} ms after dispatch stopped`);
-    for (const [shard, name] of led.owners()) {
+    for (const [shard, name] of leader.owners()) {
       if (before.get(shard) !== 'a') t.equal(name, before.get(shard));
       else t.not(name, 'a');
     }
-    await verifyAndStop(t, fixture, led);
+    await verifyAndStop(t, fixture, leader);
   }
 });
 
-// A server hangs for 10 s and then goes on with all that came meanwhile. Its
-// keys were served elsewhere; it still believes nothing, for every order that
-// it finds echoes a reading that is too old.
-void tap.test('server frozen for 10 s and back', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
+// A server hangs for 10 s, then processes everything that arrived meanwhile.
+// Its keys have been moved to other servers. It must not apply any of the
+// delayed orders, since each echoes a clock reading that is too old.
+void tap.test('server hangs for 10 s and recovers', async t => {
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
     const server = fixture.fakes.get('a');
     server.frozen = true;
     await fixture.advance(10_000);
-    const owner = led.locationOf(key);
+    const owner = leader.locationOf(key);
     t.not(owner, 'a');
     t.not(owner, 'moving');
     const obeyed = server.obeyed.length;
     server.thaw();
-    t.equal(server.obeyed.length, obeyed, 'nothing late is obeyed');
+    t.equal(server.obeyed.length, obeyed, 'no delayed order is applied');
     await fixture.advance(3000);
-    t.equal(led.locationOf(key), owner);
-    await verifyAndStop(t, fixture, led);
+    t.equal(leader.locationOf(key), owner);
+    await verifyAndStop(t, fixture, leader);
   }
 });
 
-// A server doesn't answer for 900 ms. Callers notice nothing at all, and it
-// keeps its keys.
-void tap.test('server back before its lease lapses', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
-    const before = led.owners();
+// A server doesn't answer for 900 ms, which is shorter than its lease. It keeps
+// its keys, and their requests are dispatched to it throughout.
+void tap.test('server recovers before its lease expires', async t => {
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
+    const before = leader.owners();
     const server = fixture.fakes.get('a');
     server.fate = () => ({lost: true});
     for (let waited = 0; waited < 900; waited += 20) {
       await fixture.advance(20);
-      t.equal(led.locationOf(key), 'a');
+      t.equal(leader.locationOf(key), 'a');
     }
     server.fate = () => ({});
     await fixture.advance(3000);
-    t.same(led.owners(), before);
-    await verifyAndStop(t, fixture, led);
+    t.same(leader.owners(), before);
+    await verifyAndStop(t, fixture, leader);
   }
 });
 
-// A server's process ends and another one starts at once. Its keys wait for a
-// renewal, not for a lapse: the new boot id proves that the old run is gone.
+// A server's process ends and another starts at once. Its keys wait only for
+// the next renewal, not for the lease to expire: the new boot id proves that
+// the old process has ended.
 void tap.test('server restarted', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
-    const before = led.owners();
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
+    const before = leader.owners();
     const server = fixture.fakes.get('a');
-    const fence = led.leader.led.locate(key);
+    const locationBefore = leader.leader.led.locate(key);
     server.restart();
     const took = await waitUntil(
       {fixture},
       () => server.belief(CELL)?.shards.length === SHARDS / 3,
     );
     t.ok(took <= 600, `${took} ms`);
-    t.same(led.owners(), before);
+    t.same(leader.owners(), before);
     const {boot} = server.stamp();
-    const now = led.leader.led.locate(key);
-    t.equal(now.kind === 'owned' && now.toServerTime(0).boot, boot);
-    t.notSame(fence, now);
-    await verifyAndStop(t, fixture, led);
+    const location = leader.leader.led.locate(key);
+    t.equal(location.kind === 'owned' && location.toServerTime(0).boot, boot);
+    t.notSame(locationBefore, location);
+    await verifyAndStop(t, fixture, leader);
   }
 });
 
-// A server is emptied, and the order that releases its keys, or its answer,
-// is lost or late. A server that checks fences has released once it answers a
-// newer order. One that doesn't might still obey an older order that names
-// the key, so its keys wait until that order's echo has lapsed.
-void tap.test('releasing order lost or late', async t => {
-  const fates = {
+// A server is drained, and the order that releases its keys or the reply to it
+// is lost or delayed. A server that checks fences has released the keys once it
+// acknowledges a newer order. One that doesn't check them might still apply an
+// older order that names the keys, so they wait until the reading that the
+// older order echoes has expired.
+void tap.test('release order lost or delayed', async t => {
+  const faultTypes = {
     'order lost': {lost: true},
-    'answer lost': {ackLost: true},
-    'order late': {delayMs: 700},
+    'reply lost': {ackLost: true},
+    'order delayed': {delayMs: 700},
   };
-  for (const [fault, fate] of Object.entries(fates)) {
-    for (const checksFences of KINDS) {
-      const {fixture, leader: led} = await startCluster(checksFences);
-      let faults = 0;
+  for (const [name, fault] of Object.entries(faultTypes)) {
+    for (const checksFences of CHECKS_FENCES) {
+      const {fixture, leader} = await startCluster(checksFences);
+      let injected = 0;
       const server = fixture.fakes.get('a');
       server.fate = order => {
-        if (order.shards.length === SHARDS / 3 || faults > 0) return {};
-        faults++;
-        return fate;
+        if (order.shards.length === SHARDS / 3 || injected > 0) return {};
+        injected++;
+        return fault;
       };
       fixture.drains.add('a');
-      await waitUntil({fixture}, () => led.owners().size < SHARDS);
-      await waitUntil({fixture}, () => led.owners().size === SHARDS);
-      t.equal(faults, 1, fault);
+      await waitUntil({fixture}, () => leader.owners().size < SHARDS);
+      await waitUntil({fixture}, () => leader.owners().size === SHARDS);
+      t.equal(injected, 1, name);
       await fixture.advance(3000);
-      t.same(led.shardsOf('a'), []);
-      await verifyAndStop(t, fixture, led);
+      t.same(leader.shardsOf('a'), []);
+      await verifyAndStop(t, fixture, leader);
     }
   }
 });
 
-// A renewal is under way for 900 ms, and meanwhile its server is emptied. It
-// arrives after the release was acknowledged. A server that doesn't check
-// fences obeys it and believes once more that it owns the keys; so they are
-// granted elsewhere only after that belief has lapsed.
+// A renewal is delayed by 900 ms, and its server is drained meanwhile. The
+// renewal arrives after the release was acknowledged. A server that doesn't
+// check fences applies it and holds the keys again, so they are granted to
+// another server only after that lease has expired.
 void tap.test('renewal delivered after the release', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
     const server = fixture.fakes.get('a');
     let delayed = 0;
     server.fate = () => (delayed++ === 0 ? {delayMs: 900} : {});
     await waitUntil({fixture}, () => delayed > 0);
     fixture.drains.add('a');
     const since = fixture.clock.now();
-    await waitUntil({fixture}, () => led.locationOf(key) !== 'a');
+    await waitUntil({fixture}, () => leader.locationOf(key) !== 'a');
     await waitUntil(
       {fixture},
-      () => !['moving', 'a'].includes(led.locationOf(key)),
+      () => !['moving', 'a'].includes(leader.locationOf(key)),
     );
     const took = fixture.clock.now() - since;
-    if (checksFences) t.ok(took < 900, `at once: ${took} ms`);
-    else t.ok(took > 1000, `only after the late order: ${took} ms`);
-    const late = server.obeyed.filter(order => order.shards.length > 0);
-    t.ok(late.length > 0);
-    await verifyAndStop(t, fixture, led);
+    if (checksFences) t.ok(took < 900, `without waiting: ${took} ms`);
+    else t.ok(took > 1000, `only after the delayed order expired: ${took} ms`);
+    const applied = server.obeyed.filter(order => order.shards.length > 0);
+    t.ok(applied.length > 0);
+    await verifyAndStop(t, fixture, leader);
   }
 });
 
-// The leader's process stops for 10 s; its standby takes over. Callers of the
-// old leader are refused from its first moment on: its authority has ended.
-// What it sends to servers echoes readings that are too old.
+// The leader's process is paused for 10 s and its standby takes over. Once the
+// old leader resumes, it may not act, because its authority has ended. Orders
+// that it still sends to servers echo readings that are too old.
 void tap.test('leader paused for 10 s', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
-    const before = led.owners();
-    led.process.pause();
-    led.authority.until = fixture.clock.now() + 1000;
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
+    const before = leader.owners();
+    leader.process.pause();
+    leader.authority.until = fixture.clock.now() + 1000;
     await fixture.advance(1100);
-    const next = fixture.startLeader({epoch: 2, table: led.recorded()});
+    const next = fixture.startLeader({epoch: 2, table: leader.recorded()});
     await fixture.advance(500);
     t.same(next.owners(), before);
     await fixture.advance(8400);
-    led.process.resume();
-    t.equal(led.leader.led.mayAct(), false);
+    leader.process.resume();
+    t.equal(leader.leader.led.mayAct(), false);
     await fixture.advance(5000);
     t.equal(next.locationOf(key), 'a');
     t.same(next.owners(), before);
-    await fixture.stop(led);
+    await fixture.stop(leader);
     await verifyAndStop(t, fixture, next);
   }
 });
 
 // The standby takes over with the table while the old leader may still act.
-// Servers that check fences are adopted at once, so their keys are served;
-// the others wait until the old leader is over. In neither case does a shard
-// move before that, although a server is lost meanwhile.
-void tap.test('takeover before the old leader is over', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led} = await startCluster(checksFences);
-    const before = led.owners();
-    let clear: () => void = () => {};
-    const cleared = new Promise<void>(resolve => (clear = resolve));
-    led.authority.records = false;
-    fixture.fakes.get('a').fate = () => ({lost: true});
-    const next = fixture.startLeader({
-      epoch: 2,
-      table: led.recorded(),
-      cleared,
-    });
-    await fixture.advance(3000);
-    const early = checksFences ? (2 * SHARDS) / 3 : 0;
-    t.equal(next.owners().size, early);
-    for (const [shard, name] of next.owners()) {
-      t.equal(name, before.get(shard));
+// Servers that check fences are adopted at once, so their keys are served.
+// Other servers are adopted only after the old leader's authority has ended.
+// In both cases no shard moves before that, although a server is lost.
+void tap.test(
+  'takeover before the authority of the old leader ends',
+  async t => {
+    for (const checksFences of CHECKS_FENCES) {
+      const {fixture, leader} = await startCluster(checksFences);
+      const before = leader.owners();
+      let clear: () => void = () => {};
+      const cleared = new Promise<void>(resolve => (clear = resolve));
+      leader.authority.records = false;
+      fixture.fakes.get('a').fate = () => ({lost: true});
+      const next = fixture.startLeader({
+        epoch: 2,
+        table: leader.recorded(),
+        cleared,
+      });
+      await fixture.advance(3000);
+      const early = checksFences ? (2 * SHARDS) / 3 : 0;
+      t.equal(next.owners().size, early);
+      for (const [shard, name] of next.owners()) {
+        t.equal(name, before.get(shard));
+      }
+      leader.authority.until = fixture.clock.now();
+      clear();
+      await fixture.advance(100);
+      t.equal(next.owners().size, (2 * SHARDS) / 3);
+      await fixture.advance(FORMER_LEASES_MS - 200);
+      t.equal(
+        next.owners().size,
+        (2 * SHARDS) / 3,
+        'a may still hold its shards',
+      );
+      await fixture.advance(200);
+      t.equal(next.owners().size, SHARDS);
+      await fixture.stop(leader);
+      await verifyAndStop(t, fixture, next);
     }
-    led.authority.until = fixture.clock.now();
-    clear();
-    await fixture.advance(100);
-    t.equal(next.owners().size, (2 * SHARDS) / 3);
-    await fixture.advance(FORMER_LEASES_MS - 200);
-    t.equal(next.owners().size, (2 * SHARDS) / 3, 'a may still hold its own');
-    await fixture.advance(200);
-    t.equal(next.owners().size, SHARDS);
-    await fixture.stop(led);
-    await verifyAndStop(t, fixture, next);
-  }
-});
+  },
+);
 
-// An operator drains a server right after a takeover. The former leader's
-// last renewal is still under way to it. A server that doesn't check fences
-// would obey that, so nothing leaves it before the renewal has lapsed.
-void tap.test('late order of the former leader after a takeover', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led} = await startCluster(checksFences);
-    const server = fixture.fakes.get('a');
-    let delayed = 0;
-    server.fate = ({fence}) => {
-      if (fence.epoch > 1) return {};
-      delayed++;
-      return {delayMs: 1500};
-    };
-    await waitUntil({fixture}, () => delayed > 0);
-    led.authority.until = fixture.clock.now();
-    fixture.drains.add('a');
-    const next = fixture.startLeader({epoch: 2, table: led.recorded()});
-    await fixture.advance(1000);
-    t.equal(next.shardsOf('a').length, checksFences ? 0 : SHARDS / 3);
-    await fixture.advance(4000);
-    t.same(next.shardsOf('a'), []);
-    t.equal(next.owners().size, SHARDS);
-    await fixture.stop(led);
-    await verifyAndStop(t, fixture, next);
-  }
-});
+// An operator drains a server right after a takeover, while the former leader's
+// last renewal is still in flight to it. A server that doesn't check fences
+// would apply the renewal, so none of its shards moves before that has expired.
+void tap.test(
+  'delayed order of the former leader after a takeover',
+  async t => {
+    for (const checksFences of CHECKS_FENCES) {
+      const {fixture, leader} = await startCluster(checksFences);
+      const server = fixture.fakes.get('a');
+      let delayed = 0;
+      server.fate = ({fence}) => {
+        if (fence.epoch > 1) return {};
+        delayed++;
+        return {delayMs: 1500};
+      };
+      await waitUntil({fixture}, () => delayed > 0);
+      leader.authority.until = fixture.clock.now();
+      fixture.drains.add('a');
+      const next = fixture.startLeader({epoch: 2, table: leader.recorded()});
+      await fixture.advance(1000);
+      t.equal(next.shardsOf('a').length, checksFences ? 0 : SHARDS / 3);
+      await fixture.advance(4000);
+      t.same(next.shardsOf('a'), []);
+      t.equal(next.owners().size, SHARDS);
+      await fixture.stop(leader);
+      await verifyAndStop(t, fixture, next);
+    }
+  },
+);
 
-// Leader and standby are lost together, with the table, and one server as
-// well. A third router asks the servers. Nobody is served before every older
-// lease has lapsed, for the silent server may hold any key that was split
-// off. What servers report stays with them.
+// The leader and the standby are lost together with the table, and so is one
+// server. A third router takes over and asks the servers which shards they
+// hold. No key is served before all older leases have expired, since the lost
+// server may hold a hot key that was split off. Reported shards stay where
+// they are.
 void tap.test('takeover without the table', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led} = await startCluster(checksFences);
-    const before = led.owners();
-    led.process.pause();
-    led.authority.until = fixture.clock.now();
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader} = await startCluster(checksFences);
+    const before = leader.owners();
+    leader.process.pause();
+    leader.authority.until = fixture.clock.now();
     fixture.fakes.get('c').fate = () => ({lost: true});
     const next = fixture.startLeader({epoch: 2});
     await fixture.advance(FORMER_LEASES_MS - 100);
@@ -297,32 +314,32 @@
     for (const [shard, name] of before) {
       if (name !== 'c') t.equal(next.owners().get(shard), name);
     }
-    await fixture.stop(led);
+    await fixture.stop(leader);
     await verifyAndStop(t, fixture, next);
   }
 });
 
-// Two servers report the same shard, which can't be. Neither keeps it until
-// both leases have surely lapsed; then it is granted anew.
+// Two servers report the same shard, which breaks the ownership rules. Neither
+// keeps it, and it is granted again only after both leases have expired.
 void tap.test('takeover without the table: a shard reported twice', async t => {
-  const {fixture, leader: led} = await startCluster(false);
-  led.process.pause();
-  led.authority.until = fixture.clock.now();
-  const shards = led.shardsOf('a');
+  const {fixture, leader} = await startCluster(false);
+  leader.process.pause();
+  leader.authority.until = fixture.clock.now();
+  const shards = leader.shardsOf('a');
   const [shard = ''] = shards;
-  const lie = {
+  const forgedOrder = {
     ...fixture.fakes.get('b').obeyed[0]!,
     fence: {epoch: 1, sequence: 9},
   };
   await fixture.advance(20);
-  const told = fixture.fakes.client.order(toServer('b'), {
-    ...lie,
+  const acknowledgement = fixture.fakes.client.order(toServer('b'), {
+    ...forgedOrder,
     echo: fixture.fakes.get('b').stamp(),
     shards: [shard],
   });
   await fixture.advance(20);
-  t.ok((await told).ok);
-  t.equal(fixture.violations.size, 1, 'the lie is seen');
+  t.ok((await acknowledgement).ok);
+  t.equal(fixture.violations.size, 1, 'the duplicate owner is detected');
   const next = fixture.startLeader({epoch: 2});
   await fixture.advance(100);
   for (const name of ['a', 'b']) {
@@ -336,42 +353,42 @@
   );
   await fixture.advance(FORMER_LEASES_MS + 100);
   t.equal(next.owners().size, SHARDS);
-  await fixture.stop(led);
+  await fixture.stop(leader);
   await fixture.stop(next);
 });
 
-// The standby acknowledges nothing any more. Callers notice nothing, but no
-// key changes its server until a standby records again.
+// The standby stops recording the table. Keys stay served, but none moves to
+// another server until the standby records again.
 void tap.test('standby refuses to record', async t => {
-  const {fixture, leader: led} = await startCluster(true);
-  const before = led.owners();
-  led.authority.records = false;
+  const {fixture, leader} = await startCluster(true);
+  const before = leader.owners();
+  leader.authority.records = false;
   fixture.drains.add('a');
   fixture.fakes.get('b').fate = () => ({lost: true});
   await fixture.advance(5000);
-  t.same(led.shardsOf('a').length, SHARDS / 3, 'a keeps its own');
-  t.same(led.shardsOf('b'), [], 'those of b wait');
-  t.equal(led.owners().size, (2 * SHARDS) / 3);
-  for (const [shard, name] of led.owners()) t.equal(name, before.get(shard));
-  led.authority.records = true;
+  t.same(leader.shardsOf('a').length, SHARDS / 3, 'a keeps its shards');
+  t.same(leader.shardsOf('b'), [], 'the shards of b wait');
+  t.equal(leader.owners().size, (2 * SHARDS) / 3);
+  for (const [shard, name] of leader.owners()) t.equal(name, before.get(shard));
+  leader.authority.records = true;
   await fixture.advance(3000);
-  t.equal(led.shardsOf('c').length, SHARDS);
-  await verifyAndStop(t, fixture, led);
+  t.equal(leader.shardsOf('c').length, SHARDS);
+  await verifyAndStop(t, fixture, leader);
 });
 
-// A router is stopped as planned while shards are on their way from one
-// server to another. Its successor starts from its last table and gives every
-// shard exactly one owner; nobody waits behind a closed gate.
-void tap.test('leader stops amidst handovers', async t => {
-  for (const checksFences of KINDS) {
+// A leader is stopped as planned during handovers between servers. Its
+// successor starts from the final table and gives every shard exactly one
+// owner. The stopped leader leaves no dispatch gate closed.
+void tap.test('leader stops during handovers', async t => {
+  for (const checksFences of CHECKS_FENCES) {
     for (const drainMs of [0, 40, 400]) {
-      const {fixture, leader: led} = await startCluster(checksFences);
+      const {fixture, leader} = await startCluster(checksFences);
       fixture.drainMs = drainMs;
       fixture.drains.add('a');
-      await waitUntil({fixture}, () => led.owners().size < SHARDS);
-      led.authority.until = fixture.clock.now();
-      const table = await fixture.stop(led);
-      t.equal(led.gateClosed.size, 0);
+      await waitUntil({fixture}, () => leader.owners().size < SHARDS);
+      leader.authority.until = fixture.clock.now();
+      const table = await fixture.stop(leader);
+      t.equal(leader.gateClosed.size, 0);
       t.equal(table?.entries.length, SHARDS);
       const next = fixture.startLeader({epoch: 2, table});
       await fixture.advance(6000);
@@ -382,16 +399,16 @@
   }
 });
 
-// A router is lost, and at the same time an operator publishes another
-// address for a server: another process. The one at the old address still
-// believes that it owns its keys, so the new one gets them only after that
-// lease has lapsed.
+// A leader is lost, and at the same time an operator publishes a new address
+// for a server, which means a different process. The process at the old address
+// still holds a lease on its keys, so the new one gets them only after that
+// lease has expired.
 void tap.test('takeover with a server at another address', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
-    led.process.pause();
-    led.authority.until = fixture.clock.now();
-    const table = led.recorded();
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
+    leader.process.pause();
+    leader.authority.until = fixture.clock.now();
+    const table = leader.recorded();
     fixture.servers = fixture.servers.map(server =>
       server.name === 'a' ? {...server, address: '127.0.0.1:1'} : server,
     );
@@ -406,78 +423,88 @@
     await fixture.advance(300);
     t.equal(next.owners().size, SHARDS);
     t.equal(next.recorded()?.addresses?.get('a'), '127.0.0.1:1');
-    await fixture.stop(led);
+    await fixture.stop(leader);
     await verifyAndStop(t, fixture, next);
   }
 });
 
-// The standby takes over and a server obeys it, while the old leader may
-// still act. Then the server restarts, which makes it forget whom it obeyed,
-// and is cut off from the new leader, and the old one orders it its keys once
-// more. The new leader must wait for that lease too, not only for its own.
-void tap.test('server restarted and told by the old leader', async t => {
-  const {fixture, leader: led, key} = await startCluster(true);
-  const server = fixture.fakes.get('a');
-  let clear: () => void = () => {};
-  const cleared = new Promise<void>(resolve => (clear = resolve));
-  led.authority.records = false;
-  const next = fixture.startLeader({epoch: 2, table: led.recorded(), cleared});
-  await fixture.advance(100);
-  t.equal(next.locationOf(key), 'a');
-  server.fate = ({fence}) => ({lost: fence.epoch === 2});
-  await fixture.advance(600);
-  server.restart();
-  await fixture.advance(600);
-  const belief = server.belief(CELL);
-  t.equal(belief?.fence.epoch, 1, 'the old leader is obeyed');
-  t.equal(belief?.shards.length, SHARDS / 3);
-  led.authority.until = fixture.clock.now();
-  clear();
-  await fixture.advance(FORMER_LEASES_MS - 100);
-  t.equal(next.locationOf(key), 'moving');
-  await fixture.advance(200);
-  t.equal(next.owners().size, SHARDS);
-  await fixture.stop(led);
-  await verifyAndStop(t, fixture, next);
-});
+// The standby takes over and a server applies its order while the old leader
+// may still act. Then the server restarts and so forgets the new epoch, loses
+// its connection to the new leader, and gets a new lease from the old one. The
+// new leader must wait for that lease as well, not only for its own.
+void tap.test(
+  'server restarted and leased again by the old leader',
+  async t => {
+    const {fixture, leader, key} = await startCluster(true);
+    const server = fixture.fakes.get('a');
+    let clear: () => void = () => {};
+    const cleared = new Promise<void>(resolve => (clear = resolve));
+    leader.authority.records = false;
+    const next = fixture.startLeader({
+      epoch: 2,
+      table: leader.recorded(),
+      cleared,
+    });
+    await fixture.advance(100);
+    t.equal(next.locationOf(key), 'a');
+    server.fate = ({fence}) => ({lost: fence.epoch === 2});
+    await fixture.advance(600);
+    server.restart();
+    await fixture.advance(600);
+    const lease = server.belief(CELL);
+    t.equal(lease?.fence.epoch, 1, 'the order of the old leader is applied');
+    t.equal(lease?.shards.length, SHARDS / 3);
+    leader.authority.until = fixture.clock.now();
+    clear();
+    await fixture.advance(FORMER_LEASES_MS - 100);
+    t.equal(next.locationOf(key), 'moving');
+    await fixture.advance(200);
+    t.equal(next.owners().size, SHARDS);
+    await fixture.stop(leader);
+    await verifyAndStop(t, fixture, next);
+  },
+);
 
-// A router that has just taken a cell over without the table is stopped
-// before all older leases have lapsed. It doesn't know all owners yet, so it
-// hands on no table: a successor would take shards for free that are not.
-void tap.test('leader stopped while it asks the servers', async t => {
-  const {fixture, leader: led} = await startCluster(false);
-  led.process.pause();
-  led.authority.until = fixture.clock.now();
-  fixture.fakes.get('a').fate = () => ({lost: true});
-  const next = fixture.startLeader({epoch: 2});
-  await fixture.advance(500);
-  t.equal(await fixture.stop(next), null);
-  t.equal(next.recorded(), null);
-  await fixture.stop(led);
-});
+// A router that took a cell over without the table is stopped before all older
+// leases have expired. It doesn't know all owners yet, so it must not return a
+// table: a successor would treat shards as free that still have an owner.
+void tap.test(
+  'leader stopped while it asks the servers for their shards',
+  async t => {
+    const {fixture, leader} = await startCluster(false);
+    leader.process.pause();
+    leader.authority.until = fixture.clock.now();
+    fixture.fakes.get('a').fate = () => ({lost: true});
+    const next = fixture.startLeader({epoch: 2});
+    await fixture.advance(500);
+    t.equal(await fixture.stop(next), null);
+    t.equal(next.recorded(), null);
+    await fixture.stop(leader);
+  },
+);
 
-// A key gets hot, and its hash range waits for a long request before it may
-// be split. Another server is drained, so the table is recorded, and the
-// router is lost in that moment. Its successor finds the key's
-// own shard in the table, and must not take it for free: the long request
-// still runs for the key, at the server that has the hash range.
+// A key becomes hot, and its split waits for a long request in its hash range.
+// Another server is drained, so the table is recorded, and then the leader is
+// lost. Its successor finds the key's own shard in the table and must not treat
+// it as free: the long request for the key still runs at the server that owns
+// the hash range.
 void tap.test('leader lost while it waits to split a key', async t => {
-  for (const checksFences of KINDS) {
-    const {fixture, leader: led, key} = await startCluster(checksFences);
+  for (const checksFences of CHECKS_FENCES) {
+    const {fixture, leader, key} = await startCluster(checksFences);
     fixture.drainMs = 900;
     fixture.load = createLoad([{key, rate: 100, busy: 3}]);
-    await waitUntil({fixture}, () => led.gateClosed.size > 0);
+    await waitUntil({fixture}, () => leader.gateClosed.size > 0);
     fixture.drains.add('c');
     await fixture.advance(600);
-    led.process.pause();
-    led.authority.until = fixture.clock.now();
-    const table = led.recorded();
+    leader.process.pause();
+    leader.authority.until = fixture.clock.now();
+    const table = leader.recorded();
     const entry = table?.entries.find(({shard}) => shard === `k:${key}`);
     t.same([entry?.state, entry?.server], ['held', 'a']);
     const next = fixture.startLeader({epoch: 2, table});
     await fixture.advance(500);
     t.equal(next.locationOf(key), 'a');
-    await fixture.stop(led);
+    await fixture.stop(leader);
     await verifyAndStop(t, fixture, next);
   }
 });
--- a/packages/ownership/test/lease-fixture.ts
+++ b/packages/ownership/test/lease-fixture.ts
@@ -1,4 +1,4 @@
-/** A led cell over simulated servers, with the clock in the test's hand. */
+/** Fixture: one cell's leaders with simulated servers and a manual clock. */
 import {rangeOf} from '@banyandrum/base/hash.js';
 import type {ShardId} from '@banyandrum/base/ids.js';
 import {createSilentLogger} from '@banyandrum/base/logger.js';
@@ -36,13 +36,13 @@
   driftPpm: 10000,
 };
 
-/** How long after `cleared` every order of a former leader has lapsed. */
+/** Time after `cleared` until all former leaders' leases have expired. */
 export const FORMER_LEASES_MS = 2040;
 
 export interface Fixture {
   readonly clock: ManualClock;
   readonly fakes: FakeServers;
-  /** The inventory's servers; a test assigns to change it. */
+  /** The servers in the inventory; tests assign a new list to change it. */
   servers: readonly Server[];
   readonly drains: Set<string>;
   readonly hosts: Host[];
@@ -50,11 +50,11 @@
   /** How long requests in flight take to finish. */
   drainMs: number;
   startLeader(options?: LeaderOptions): TestLeader;
-  /** Ends a leadership; yields its last table. */
-  stop(led: TestLeader): Promise<ShardTable | null>;
-  /** What broke the rules of ownership so far; empty is right. */
+  /** Stops a leader; resolves to its final table. */
+  stop(leader: TestLeader): Promise<ShardTable | null>;
+  /** Violations of the ownership rules so far; must stay empty. */
   readonly violations: ReadonlySet<string>;
-  /** Moves time on in steps of 20 ms and checks locations at each. */
+  /** Advances the clock in steps of 20 ms and checks all locations at each. */
   advance(ms: number): Promise<void>;
 }
 
@@ -64,18 +64,18 @@
   readonly cleared?: Promise<void>;
 }
 
-/** One leadership, with what a test can do to it. */
+/** One leader of the cell, with controls for the test. */
 export interface TestLeader {
   readonly leader: CellLeader;
   readonly process: Pausable;
-  /** When its authority ends, and whether the standby records. */
+  /** When its authority ends, and whether the standby records its tables. */
   readonly authority: {until: number; records: boolean};
   readonly gateClosed: ReadonlySet<ShardId>;
-  /** The table as the standby has it. */
+  /** The table that the standby recorded last. */
   recorded(): ShardTable | null;
-  /** Server that the key would be sent to now, or the kind of its location. */
+  /** The server that owns the key, or the kind of its location if none does. */
   locationOf(key: string): string;
-  /** Servers of all shards that can be served now. */
+  /** The server of each shard that can be served now. */
   owners(): ReadonlyMap<ShardId, string>;
   shardsOf(server: string): readonly ShardId[];
 }
@@ -107,7 +107,7 @@
     cells: 1,
     checksFences,
   };
-  const leds = new Set<TestLeader>();
+  const leaders = new Set<TestLeader>();
 
   const store: StateStore = {
     current: () =>
@@ -133,16 +133,16 @@
     open: (_, shard) => void closed.delete(shard),
   });
 
-  const lead = (lead: LeaderOptions = {}): TestLeader => {
+  const startLeader = (leaderOptions: LeaderOptions = {}): TestLeader => {
     const authority = {until: Infinity, records: true};
     const gateClosed = new Set<ShardId>();
     const process = createPausable(clock, fakes.client);
     let recorded: ShardTable | null = null;
-    const leader = startCellLeader({
+    const cellLeader = startCellLeader({
       service,
       authority: {
         cell: CELL,
-        epoch: lead.epoch ?? 1,
+        epoch: leaderOptions.epoch ?? 1,
         mayAct: () => clock.now() < authority.until,
         record(table) {
           if (authority.records) recorded = table;
@@ -150,8 +150,8 @@
         },
       },
       inheritance: {
-        table: lead.table ?? null,
-        cleared: lead.cleared ?? Promise.resolve(),
+        table: leaderOptions.table ?? null,
+        cleared: leaderOptions.cleared ?? Promise.resolve(),
       },
       store,
       serverClient: process.client,
@@ -164,18 +164,18 @@
       signal: new AbortController().signal,
     });
     const owners = (): ReadonlyMap<ShardId, string> => {
-      const {shards} = leader.describe();
+      const {shards} = cellLeader.describe();
       const servable = shards.filter(shard => shard.servable);
       return new Map(servable.map(({shard, server}) => [shard, server ?? '']));
     };
-    const led: TestLeader = {
-      leader,
+    const testLeader: TestLeader = {
+      leader: cellLeader,
       process,
       authority,
       gateClosed,
       recorded: () => recorded,
       locationOf(key) {
-        const location = leader.led.locate(key);
+        const location = cellLeader.led.locate(key);
         return location.kind === 'owned' ? location.server.name : location.kind;
       },
       owners,
@@ -184,15 +184,15 @@
           .filter(([, name]) => name === server)
           .map(([shard]) => shard),
     };
-    leds.add(led);
-    return led;
+    leaders.add(testLeader);
+    return testLeader;
   };
 
   const advance = async (ms: number): Promise<void> => {
     const end = clock.now() + ms;
     while (clock.now() < end) {
       await clock.advance(Math.min(STEP_MS, end - clock.now()));
-      for (const led of leds) checker.checkLocations(led, fakes);
+      for (const leader of leaders) checker.checkLocations(leader, fakes);
     }
   };
 
@@ -204,11 +204,11 @@
     hosts: [],
     load: createLoad(),
     drainMs: 0,
-    startLeader: lead,
-    async stop(led) {
-      const stopped = led.leader.stop();
+    startLeader,
+    async stop(leader) {
+      const stopped = leader.leader.stop();
       await advance(STEP_MS);
-      leds.delete(led);
+      leaders.delete(leader);
       return stopped;
     },
     violations: checker.violations,
@@ -217,7 +217,7 @@
   return fixture;
 }
 
-/** A cell's load with these hot keys. */
+/** Creates a cell load that consists of these hot keys. */
 export function createLoad(hotKeys: readonly HotKey[] = []): CellLoad {
   const shards = hotKeys.map(({key, busy, rate}) => ({
     shard: `k:${key}`,
@@ -227,7 +227,7 @@
   return {shards, servers: [], hotKeys};
 }
 
-/** A key of a hash range. */
+/** Finds a key that falls into the hash range. */
 export function keyOf(shard: number): string {
   for (let index = 0; ; index++) {
     const key = `ward-${index}`;
--- a/packages/ownership/test/lease-random-checking.test.ts
+++ b/packages/ownership/test/lease-random-checking.test.ts
@@ -4,10 +4,10 @@
 const SEEDS = 12;
 const STEPS = 60;
 
-// Servers freeze, restart and lose orders, leaders pause, are deposed or stop,
-// keys get hot, all at random and at once. At no moment may two servers
-// believe that they own a key, nor a leader send a key elsewhere than to its
-// owner. Once everything has healed, every key is served again.
+// Random concurrent faults: servers hang, restart and lose orders, leaders
+// pause, lose their authority or stop, and keys become hot. At no time may two
+// servers hold a lease on the same key, or a leader locate a key at a server
+// that doesn't own it. After all faults have ended, every key is served again.
 void tap.test('random faults, servers check fences', async t => {
   for (let seed = 1; seed <= SEEDS; seed++) {
     const result = await runSchedule(seed, true, STEPS);
--- a/packages/ownership/test/reach.test.ts
+++ b/packages/ownership/test/reach.test.ts
@@ -3,11 +3,11 @@
 
 const HOSTS = ['a', 'b', 'c', 'd'];
 
-// Something on the way drops new connections to the leader's host. Its own
-// connections work: it gets consent, renews leases and stays leader, while
-// requests that the other routers pass on to it all fail, for as long as the
-// cut lasts. The standby tells it, others confirm it, and it hands over.
-void tap.test('a leader that nobody can reach hands over', async t => {
+// New connections to the leader's host are dropped, while connections that the
+// leader opens work. So it would get consent, renew leases and stay leader,
+// although all requests that other routers forward to it fail. The standby must
+// report this, other routers confirm it, and the leader hands its cell over.
+void tap.test('a leader that no router can reach hands over', async t => {
   const {world, leader} = await createScene(HOSTS);
   world.network.opens = (_from, to) => to !== leader;
   const took = await world.until(() => {
@@ -18,18 +18,21 @@
   t.same(world.violations, []);
 });
 
-// The standby's own openings are dropped, so it finds the leader unreached
-// although everybody else reaches it. The leader must not give its cell to a
-// router that reaches nobody: it takes another standby.
-void tap.test('a standby that reaches nobody gets no cell', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
-  world.network.opens = from => from !== standby;
-  const took = await world.until(
-    () => viewOf(world)?.standby?.host !== standby,
-    6000,
-  );
-  t.ok(took >= 0, `another standby after ${took} ms`);
-  t.equal(viewOf(world)?.leader.host, leader);
-  t.equal(world.acting()?.host, leader);
-  t.same(world.violations, []);
-});
+// All connections that the standby opens are dropped, so it reports the leader
+// as unreachable although the other routers reach it. The leader must not hand
+// its cell to a router that reaches no other: it replaces its standby.
+void tap.test(
+  'a standby that reaches no other router gets no cell',
+  async t => {
+    const {world, leader, standby} = await createScene(HOSTS);
+    world.network.opens = from => from !== standby;
+    const took = await world.until(
+      () => viewOf(world)?.standby?.host !== standby,
+      6000,
+    );
+    t.ok(took >= 0, `another standby after ${took} ms`);
+    t.equal(viewOf(world)?.leader.host, leader);
+    t.equal(world.acting()?.host, leader);
+    t.same(world.violations, []);
+  },
+);
