--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -127,11 +127,14 @@
   if (standbyState === 'serving') return null;
   const isConfirmed = isLeaderGone || standbyState === 'over';
   if (!isConfirmed && !checksFences(ctx, view)) {
-    ctx.log.warn('leader and standby unresponsive; attest if lost', {
-      cell: view.cell,
-      leader: view.leader.host,
-      standby: view.standby?.host,
-    });
+    ctx.log.warn(
+      'leader and standby unresponsive; attest their hosts if lost',
+      {
+        cell: view.cell,
+        leader: view.leader.host,
+        standby: view.standby?.host,
+      },
+    );
     return null;
   }
   if (!isLeaderGone && !(await reachesHalfOfRouters(options, view)))
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -211,7 +211,7 @@
       startHandover(
         hot,
         range.server,
-        'key no longer hot; merging into its hash range',
+        'not hot any more; merging into its hash range',
       );
     }
   };
--- a/packages/ownership/test/lease-faults.test.ts
+++ b/packages/ownership/test/lease-faults.test.ts
@@ -77,7 +77,7 @@
 // A server hangs for 10 s, then processes everything that arrived meanwhile.
 // Its keys have been moved to other servers. It must not apply any of the
 // delayed orders, since each echoes a clock reading that is too old.
-void tap.test('server hangs for 10 s and recovers', async t => {
+void tap.test('server frozen for 10 s recovers', async t => {
   for (const checksFences of CHECKS_FENCES) {
     const {fixture, leader, key} = await startCluster(checksFences);
     const server = fixture.fakes.get('a');
@@ -88,7 +88,7 @@
     t.not(owner, 'moving');
     const obeyed = server.obeyed.length;
     server.thaw();
-    t.equal(server.obeyed.length, obeyed, 'no delayed order is applied');
+    t.equal(server.obeyed.length, obeyed, 'nothing delayed is applied');
     await fixture.advance(3000);
     t.equal(leader.locationOf(key), owner);
     await verifyAndStop(t, fixture, leader);
@@ -146,7 +146,7 @@
 void tap.test('release order lost or delayed', async t => {
   const faultTypes = {
     'order lost': {lost: true},
-    'reply lost': {ackLost: true},
+    'answer lost': {ackLost: true},
     'order delayed': {delayMs: 700},
   };
   for (const [name, fault] of Object.entries(faultTypes)) {
@@ -189,7 +189,7 @@
       () => !['moving', 'a'].includes(leader.locationOf(key)),
     );
     const took = fixture.clock.now() - since;
-    if (checksFences) t.ok(took < 900, `without waiting: ${took} ms`);
+    if (checksFences) t.ok(took < 900, `at once: ${took} ms`);
     else t.ok(took > 1000, `only after the delayed order expired: ${took} ms`);
     const applied = server.obeyed.filter(order => order.shards.length > 0);
     t.ok(applied.length > 0);
