--- a/packages/ownership/src/hot-shards.ts
+++ b/packages/ownership/src/hot-shards.ts
@@ -109,7 +109,7 @@
   };
 }
 
-function isSettled(slot: Slot, now: number): boolean {
-  if (now < slot.stayUntil) return false;
-  return slot.state === 'held' && !slot.busy && !slot.paused;
+function isSettled(tracked: Slot, now: number): boolean {
+  if (now < tracked.stayUntil) return false;
+  return tracked.state === 'held' && !tracked.busy && !tracked.paused;
 }
--- a/packages/ownership/src/lease-holding.ts
+++ b/packages/ownership/src/lease-holding.ts
@@ -62,8 +62,8 @@
   /** Records that the order was not applied and never will be. */
   recordRejected(order: SentOrder): void;
   /**
-   * Until when leases granted by former leaders may be in force; in the
-   * past if none is.
+   * Until when leases granted by former leaders may be in force; in the past
+   * if none is.
    */
   formerLeaseExpiry(): number;
   /** Sets the limit once former leaders are known to have stopped. */
--- a/packages/ownership/src/lease-task.ts
+++ b/packages/ownership/src/lease-task.ts
@@ -66,8 +66,8 @@
   /** From when the server certainly holds no shard at all. */
   mayHoldAnyUntil(): number;
   /**
-   * Until when leases granted by former leaders may be in force; in the
-   * past if none is.
+   * Until when leases granted by former leaders may be in force; in the past
+   * if none is.
    */
   formerLeaseExpiry(): number;
   limitFormerLeases(limit: FormerLeaseLimit): void;
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -112,24 +112,28 @@
 
   /** Frees shards of servers whose lease has certainly expired. */
   const freeExpired = (): void => {
-    for (const slot of map.all()) {
-      if (slot.server === null || slot.busy) continue;
-      if (!isExpired(slot, slot.server)) continue;
-      log.info('lease expired', {cell, shard: slot.shard, server: slot.server});
-      freeShard(options, slot, `the lease of ${slot.server} expired`);
+    for (const tracked of map.all()) {
+      if (tracked.server === null || tracked.busy) continue;
+      if (!isExpired(tracked, tracked.server)) continue;
+      log.info('lease expired', {
+        cell,
+        shard: tracked.shard,
+        server: tracked.server,
+      });
+      freeShard(options, tracked, `the lease of ${tracked.server} expired`);
     }
   };
 
-  const isExpired = (slot: Slot, server: string): boolean => {
+  const isExpired = (tracked: Slot, server: string): boolean => {
     const now = clock.now();
     const task = tasks.get(server);
     // The shard came with the former leader's table, but its server was not in
     // the inventory or had another address. So this leader has leased it
     // nothing, and only the former leader's leases count.
-    if (!task?.assigned().has(slot.shard))
+    if (!task?.assigned().has(tracked.shard))
       return options.formerLeaseExpiry() <= now;
     if (task.health() === 'ok') return false;
-    return task.mayHoldUntil(slot.shard) <= now;
+    return task.mayHoldUntil(tracked.shard) <= now;
   };
 
   const msUntilNextExpiry = (): number => {
@@ -146,21 +150,23 @@
   };
 
   const applyMove = (move: Move): void => {
-    const slot = map.get(move.shard);
-    if (slot === undefined || slot.busy) return;
-    if (slot.server !== null) return startHandover(slot, move.to, move.reason);
-    runChange([slot], grantShard(options, slot, move.to, move.reason));
+    const tracked = map.get(move.shard);
+    if (tracked === undefined || tracked.busy) return;
+    if (tracked.server !== null)
+      return startHandover(tracked, move.to, move.reason);
+    runChange([tracked], grantShard(options, tracked, move.to, move.reason));
   };
 
-  const startHandover = (slot: Slot, to: string, reason: string): void => {
-    const from = slot.server === null ? undefined : tasks.get(slot.server);
+  const startHandover = (tracked: Slot, to: string, reason: string): void => {
+    const from =
+      tracked.server === null ? undefined : tasks.get(tracked.server);
     const mustGo = from !== undefined && registry.leavingReason(from) !== null;
-    if (!mustGo && clock.now() < slot.stayUntil) return;
+    if (!mustGo && clock.now() < tracked.stayUntil) return;
     if (handovers >= MAX_HANDOVERS) return;
     handovers++;
-    log.info('handing over', {cell, shard: slot.shard, to, reason});
-    const moved = handOver(options, slot, {to, reason, mustGo});
-    runChange([slot], countHandover(moved));
+    log.info('handing over', {cell, shard: tracked.shard, to, reason});
+    const moved = handOver(options, tracked, {to, reason, mustGo});
+    runChange([tracked], countHandover(moved));
   };
 
   /**
@@ -217,14 +223,14 @@
   };
 
   /** Runs a change; no other change touches its shards until it has ended. */
-  const runChange = (slots: readonly Slot[], change: Promise<void>): void => {
-    for (const slot of slots) slot.busy = true;
+  const runChange = (shards: readonly Slot[], change: Promise<void>): void => {
+    for (const tracked of shards) tracked.busy = true;
     const ended = change
       .catch((err: unknown) => {
         log.error('ownership change failed', {cell, detail: String(err)});
       })
       .finally(() => {
-        for (const slot of slots) slot.busy = false;
+        for (const tracked of shards) tracked.busy = false;
         running.delete(ended);
         options.changed.notify();
       });
@@ -233,8 +239,8 @@
 
   const updateStuck = ({candidates}: PlanInput): void => {
     const hasCandidate = candidates.some(({readiness}) => readiness > 0);
-    for (const slot of map.all()) {
-      slot.stuck = slot.server === null && !hasCandidate;
+    for (const tracked of map.all()) {
+      tracked.stuck = tracked.server === null && !hasCandidate;
     }
   };
 
--- a/packages/ownership/src/plan-input.ts
+++ b/packages/ownership/src/plan-input.ts
@@ -43,7 +43,9 @@
     const candidate = toCandidate(options, task);
     if (candidate !== null) candidates.push(candidate);
   }
-  const shards = Array.from(map.all(), slot => toPlacedShard(options, slot));
+  const shards = Array.from(map.all(), tracked =>
+    toPlacedShard(options, tracked),
+  );
   return {now, candidates, shards, weights};
 }
 
@@ -90,15 +92,15 @@
   };
 }
 
-function toPlacedShard(options: PlanInputOptions, slot: Slot): PlacedShard {
-  const {shard, movedAt} = slot;
+function toPlacedShard(options: PlanInputOptions, tracked: Slot): PlacedShard {
+  const {shard, movedAt} = tracked;
   return {
     shard,
     // A moving shard already counts towards its next server.
-    server: slot.next ?? slot.server,
+    server: tracked.next ?? tracked.server,
     load: options.loads.busyOf(shard),
     movedAt,
-    pinned: !isMovable(options, slot),
+    pinned: !isMovable(options, tracked),
   };
 }
 
@@ -107,10 +109,10 @@
  * while its server doesn't answer (it may come back before its lease expires),
  * and while a lease that a former leader granted may be in force at its server.
  */
-function isMovable(options: PlanInputOptions, slot: Slot): boolean {
-  if (slot.busy) return false;
-  if (slot.server === null) return true;
-  const task = options.registry.tasks.get(slot.server);
+function isMovable(options: PlanInputOptions, tracked: Slot): boolean {
+  if (tracked.busy) return false;
+  if (tracked.server === null) return true;
+  const task = options.registry.tasks.get(tracked.server);
   if (task === undefined || task.health() !== 'ok') return false;
   return task.formerLeaseExpiry() <= options.now;
 }
