--- a/packages/bench/src/slopes-loop.ts
+++ b/packages/bench/src/slopes-loop.ts
@@ -5,7 +5,7 @@
 import {encodeState} from '@banyandrum/config/snapshot.js';
 import type {StateStore} from '@banyandrum/config/store.js';
 import type {
-  ConsentAsk,
+  ConsentRequest,
   OwnershipPeers,
 } from '@banyandrum/ownership/control.js';
 import type {RunningCell} from '@banyandrum/ownership/leadership.js';
@@ -49,7 +49,7 @@
     append: () => new Promise(() => {}),
   } as unknown as StateStore;
   const peers = {
-    ask: (_to: unknown, kind: string, ask: ConsentAsk) => {
+    ask: (_to: unknown, kind: string, ask: ConsentRequest) => {
       const granted = kind === 'consent' ? ask.cells.map(c => c.cell) : [];
       const leads = {leading: [], next: state.next, publication: 1};
       return Promise.resolve(Ok({granted, leaving: false, ...leads}));
--- a/packages/ownership/src/authority-holder.ts
+++ b/packages/ownership/src/authority-holder.ts
@@ -4,7 +4,7 @@
 import type {OwnershipContext} from './context.js';
 import {toTableMessage} from './control.js';
 import type {ShardTable} from './table.js';
-import {isAttestedLost, isCurrent} from './views.js';
+import {isAttestedLost, isCurrentView} from './views.js';
 
 /** A leader's right to act for a cell, with the means to keep and end it. */
 export interface AuthorityHolder extends Authority {
@@ -14,32 +14,32 @@
    * Goes on under the next view, in which this process leads as well. Its
    * standby does not have the table yet; see `synchronise`.
    */
-  moveTo(view: View): void;
+  advanceTo(view: View): void;
   /** Counts a consent for an epoch from when it was asked for. */
-  consented(epoch: Offset, askedAt: number): void;
+  recordConsent(epoch: Offset, askedAt: number): void;
   /** When the newest consent that counts was asked for. */
-  consentedAt(): number;
+  lastConsentAt(): number;
   /**
    * Stops counting the standby's consent, before a claim of a view with
    * another standby is appended. The append may take effect without our
    * knowledge, and the new standby clears its way without asking the old
    * one; were the old one's consent still counted, two could act at once.
    */
-  forgoConsent(): void;
+  suspendConsent(): void;
   /** Counts consent again: the claim is proved not to have been appended. */
-  regainConsent(epoch: Offset): void;
+  restoreConsent(epoch: Offset): void;
   /** Whether such a claim may take effect, or already has. */
-  hasOpenClaim(): boolean;
+  hasPendingClaim(): boolean;
   /**
    * Sends the standby the whole table unless it has one of this epoch;
    * whether it has one in the end. Without it a successor has to ask all
    * servers and to wait for those that do not answer.
    */
-  synchronise(): Promise<boolean>;
+  sendTableToStandby(): Promise<boolean>;
   /** Whether a complete table was recorded since the right began. */
-  hasRecorded(): boolean;
+  hasRecordedTable(): boolean;
   /** Ends the right for good. */
-  end(): void;
+  revoke(): void;
 }
 
 /**
@@ -72,7 +72,8 @@
   const mayAct = (): boolean => {
     if (ended) return false;
     const state = store.current();
-    if (!isCurrent(state, view) || isAttestedLost(state, self)) return false;
+    if (!isCurrentView(state, view) || isAttestedLost(state, self))
+      return false;
     return isRecent(store.confirmedAt()) || hasConsent();
   };
 
@@ -80,7 +81,7 @@
     const {standby} = view;
     if (standby === null) return true;
     const message = {table: toTableMessage(table)};
-    const {answerMs} = timing;
+    const {responseTimeoutMs: answerMs} = timing;
     const res = await peers.ask(standby, 'table', message, answerMs);
     const isStored = res.ok && res.val.stored;
     if (isStored) synchronisedEpoch = table.epoch;
@@ -108,24 +109,24 @@
       const stored = await putAtStandby(table);
       return stored && view.epoch === epoch && mayAct();
     },
-    moveTo(next) {
+    advanceTo(next) {
       view = next;
       consentedAt = -Infinity;
       openClaims = 0;
     },
-    consented(epoch, askedAt) {
+    recordConsent(epoch, askedAt) {
       if (epoch !== view.epoch) return;
       consentedAt = Math.max(consentedAt, askedAt);
     },
-    consentedAt: () => consentedAt,
-    forgoConsent: () => void openClaims++,
-    regainConsent(epoch) {
+    lastConsentAt: () => consentedAt,
+    suspendConsent: () => void openClaims++,
+    restoreConsent(epoch) {
       if (epoch === view.epoch) openClaims--;
     },
-    hasOpenClaim: () => openClaims > 0,
-    synchronise,
-    hasRecorded: () => recorded !== null,
-    end() {
+    hasPendingClaim: () => openClaims > 0,
+    sendTableToStandby: synchronise,
+    hasRecordedTable: () => recorded !== null,
+    revoke() {
       ended = true;
     },
   };
--- a/packages/ownership/src/authority.ts
+++ b/packages/ownership/src/authority.ts
@@ -15,7 +15,7 @@
 }
 
 /** What a new leader starts from. */
-export interface Inheritance {
+export interface InheritedState {
   /** The standby's complete table, or null where the servers must be asked. */
   readonly table: ShardTable | null;
   /**
--- a/packages/ownership/src/catch-up.ts
+++ b/packages/ownership/src/catch-up.ts
@@ -4,14 +4,14 @@
 import type {Logger} from '@banyandrum/base/logger.js';
 import type {StateStore} from '@banyandrum/config/store.js';
 import type {OwnershipPeers} from './control.js';
-import type {LiveHosts} from './membership.js';
+import type {HostListReader} from './membership.js';
 import {incarnationKey} from './views.js';
 
 export interface CatchUpOptions {
   readonly self: {readonly host: string};
   readonly store: StateStore;
   readonly peers: OwnershipPeers;
-  readonly hosts: LiveHosts;
+  readonly hosts: HostListReader;
   readonly clock: Clock;
   readonly log: Logger;
   readonly signal: AbortSignal;
--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -6,7 +6,7 @@
 import type {Timing} from '@banyandrum/config/rules.js';
 import type {StateStore} from '@banyandrum/config/store.js';
 import type {ServerClient} from '@banyandrum/servers/client.js';
-import type {Authority, Inheritance} from './authority.js';
+import type {Authority, InheritedState} from './authority.js';
 import type {Planner} from '@banyandrum/placement/planner.js';
 import {createCondition} from './condition.js';
 import type {DispatchGate, LedCell, LoadSource} from './led-cell.js';
@@ -25,7 +25,7 @@
 export interface CellLeaderOptions {
   readonly service: Service;
   readonly authority: Authority;
-  readonly inheritance: Inheritance;
+  readonly inheritance: InheritedState;
   readonly store: StateStore;
   readonly serverClient: ServerClient;
   readonly hostWatch: HostWatch;
--- a/packages/ownership/src/claims.ts
+++ b/packages/ownership/src/claims.ts
@@ -36,10 +36,10 @@
  * void, so trying again does no harm, while a request that was lost on its
  * way would cost the cell all the time that the store waits for it.
  */
-const PATIENCE_MS = 2000;
+const APPEND_TIMEOUT_MS = 2000;
 
 /** Keeps a record well below any log's limit for one record. */
-const MAX_CLAIMS = 64;
+const MAX_CLAIMS_PER_RECORD = 64;
 
 /**
  * Makes the one way by which this process claims cells.
@@ -62,7 +62,7 @@
     // Not cancelled when patience ends: a slow log may still take it.
     const res = await Promise.race([
       ctx.store.append({kind: 'views', claims}, ctx.signal),
-      sleep(ctx.clock, PATIENCE_MS, ctx.signal),
+      sleep(ctx.clock, APPEND_TIMEOUT_MS, ctx.signal),
     ]);
     if (res === undefined) return 'unknown';
     if (res.ok) return 'appended';
@@ -74,9 +74,11 @@
   return {
     async claim(wanted) {
       let worst: ClaimOutcome = 'appended';
-      for (let i = 0; i < wanted.length; i += MAX_CLAIMS) {
-        const outcome = await appendBatch(wanted.slice(i, i + MAX_CLAIMS));
-        worst = worse(worst, outcome);
+      for (let i = 0; i < wanted.length; i += MAX_CLAIMS_PER_RECORD) {
+        const outcome = await appendBatch(
+          wanted.slice(i, i + MAX_CLAIMS_PER_RECORD),
+        );
+        worst = worseOutcome(worst, outcome);
       }
       return worst;
     },
@@ -90,6 +92,6 @@
 
 const SEVERITY = {appended: 0, 'not-appended': 1, unknown: 2} as const;
 
-function worse(a: ClaimOutcome, b: ClaimOutcome): ClaimOutcome {
+function worseOutcome(a: ClaimOutcome, b: ClaimOutcome): ClaimOutcome {
   return SEVERITY[a] >= SEVERITY[b] ? a : b;
 }
--- a/packages/ownership/src/clearance.ts
+++ b/packages/ownership/src/clearance.ts
@@ -2,7 +2,7 @@
 import type {Incarnation} from '@banyandrum/base/ids.js';
 import type {FormerPair, View} from '@banyandrum/config/state.js';
 import type {OwnershipContext} from './context.js';
-import {withMargin} from './timing.js';
+import {withClockMargin} from './timing.js';
 import {isAttestedLost} from './views.js';
 
 /**
@@ -19,14 +19,14 @@
  * await waitUntilCleared(ctx, view, signal);
  * ```
  */
-export async function waitUntilCleared(
+export async function waitForFormerLeaders(
   ctx: OwnershipContext,
   view: View,
   signal: AbortSignal,
 ): Promise<void> {
-  const trustMs = withMargin(ctx.timing, ctx.timing.authorityMs);
+  const trustMs = withClockMargin(ctx.timing, ctx.timing.authorityMs);
   const pairs = view.unsettled.map(pair =>
-    waitUntilOver(ctx, view, pair, signal),
+    waitForFormerPair(ctx, view, pair, signal),
   );
   await Promise.all([sleep(ctx.clock, trustMs, signal), ...pairs]);
 }
@@ -39,7 +39,7 @@
  */
 type PairState = 'living' | 'no-consent' | 'over';
 
-async function waitUntilOver(
+async function waitForFormerPair(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
@@ -47,27 +47,27 @@
 ): Promise<void> {
   let warned = false;
   while (!signal.aborted) {
-    const state = await examinePair(ctx, view, pair);
+    const state = await checkPair(ctx, view, pair);
     if (state === 'over') return;
     if (state === 'no-consent') {
       const {authorityMs} = ctx.timing;
-      return sleep(ctx.clock, withMargin(ctx.timing, authorityMs), signal);
+      return sleep(ctx.clock, withClockMargin(ctx.timing, authorityMs), signal);
     }
-    if (!warned) warnOfPair(ctx, view, pair);
+    if (!warned) warnAboutPair(ctx, view, pair);
     warned = true;
-    await sleep(ctx.clock, ctx.timing.watchMs, signal);
+    await sleep(ctx.clock, ctx.timing.watchIntervalMs, signal);
   }
 }
 
-async function examinePair(
+async function checkPair(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
 ): Promise<PairState> {
   const {standby, leader} = pair;
   const [leaderState, standbyState] = await Promise.all([
-    examineRun(ctx, view, pair, leader),
-    standby === null ? 'gone' : examineRun(ctx, view, pair, standby),
+    checkIncarnation(ctx, view, pair, leader),
+    standby === null ? 'gone' : checkIncarnation(ctx, view, pair, standby),
   ]);
   if (leaderState === 'gone') return 'over';
   const isCut = leaderState === 'stopped' || standbyState !== 'living';
@@ -80,31 +80,39 @@
  * - `stopped`: it answers that it knows a later view or has withdrawn, so it
  *   neither acts nor consents in that epoch any more.
  */
-type RunState = 'living' | 'stopped' | 'gone';
+type IncarnationState = 'living' | 'stopped' | 'gone';
 
-async function examineRun(
+async function checkIncarnation(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
   run: Incarnation,
-): Promise<RunState> {
-  if (isGone(ctx, run)) return 'gone';
+): Promise<IncarnationState> {
+  if (isKnownTerminated(ctx, run)) return 'gone';
   if (run.boot === ctx.self.boot) return 'stopped';
   const ask = {cell: view.cell, epoch: pair.epoch};
-  const res = await ctx.peers.ask(run, 'withdraw', ask, ctx.timing.answerMs);
+  const res = await ctx.peers.ask(
+    run,
+    'withdraw',
+    ask,
+    ctx.timing.responseTimeoutMs,
+  );
   if (!res.ok) return res.val.kind === 'other-incarnation' ? 'gone' : 'living';
   return res.val.withdrawnForMs === null ? 'living' : 'stopped';
 }
 
 /** What this process knows of a run without asking anybody. */
-export function isGone(ctx: OwnershipContext, run: Incarnation): boolean {
+export function isKnownTerminated(
+  ctx: OwnershipContext,
+  run: Incarnation,
+): boolean {
   const {self} = ctx;
   // This process holds that address itself, so the other run is over.
   if (run.address === self.address && run.boot !== self.boot) return true;
   return isAttestedLost(ctx.store.current(), run);
 }
 
-function warnOfPair(
+function warnAboutPair(
   ctx: OwnershipContext,
   view: View,
   {epoch, leader, standby}: FormerPair,
--- a/packages/ownership/src/consent.ts
+++ b/packages/ownership/src/consent.ts
@@ -21,7 +21,7 @@
  * process, in one message; until the signal aborts. The question is also the
  * heartbeat between the two, in both directions.
  */
-export async function runConsent(
+export async function runConsentLoop(
   options: ConsentOptions,
   standby: Incarnation,
   signal: AbortSignal,
@@ -29,14 +29,14 @@
   const {clock, timing} = options.ctx;
   while (!signal.aborted) {
     const askedAt = clock.now();
-    await askOnce(options, standby);
-    await doubtSilent(options, standby);
+    await requestConsent(options, standby);
+    await checkSilentStandby(options, standby);
     const spent = clock.now() - askedAt;
-    await sleep(clock, Math.max(0, timing.consentMs - spent), signal);
+    await sleep(clock, Math.max(0, timing.consentIntervalMs - spent), signal);
   }
 }
 
-async function askOnce(
+async function requestConsent(
   options: ConsentOptions,
   standby: Incarnation,
 ): Promise<void> {
@@ -49,7 +49,7 @@
   if (asked.length === 0) return;
   const cells = asked.map(({cell, epoch}) => ({cell, epoch}));
   const askedAt = ctx.clock.now();
-  const {answerMs} = ctx.timing;
+  const {responseTimeoutMs: answerMs} = ctx.timing;
   const res = await ctx.peers.ask(standby, 'consent', {cells}, answerMs);
   if (!res.ok) {
     const isGone = res.val.kind === 'other-incarnation';
@@ -59,11 +59,11 @@
   const granted = new Set(res.val.granted);
   for (const {tenure, cell, epoch} of asked) {
     if (!granted.has(cell)) continue;
-    tenure.holder.consented(epoch, askedAt);
+    tenure.holder.recordConsent(epoch, askedAt);
     // Its consent shows that it knows the epoch, so it takes the table now.
-    void tenure.holder.synchronise();
+    void tenure.holder.sendTableToStandby();
   }
-  if (res.val.leaving) membership.noteLeaving(standby);
+  if (res.val.leaving) membership.markLeaving(standby);
   if (!res.val.unreached) return;
   options.noteUnreached(standby, tenuresWith(options, standby));
 }
@@ -72,27 +72,29 @@
  * Doubts a standby that gave no consent for a while. A new connection is
  * tried first: a silent one may have been lost track of on the way.
  */
-async function doubtSilent(
+async function checkSilentStandby(
   options: ConsentOptions,
   standby: Incarnation,
 ): Promise<void> {
   const {ctx, doubt} = options;
   const {timing} = ctx;
   const silent = (ms: number): readonly Tenure[] =>
-    tenuresWith(options, standby).filter(tenure => silentFor(ctx, tenure) > ms);
-  if (silent(timing.standbySilenceMs).length === 0) return;
-  const res = await ctx.peers.probe(standby.address, timing.answerMs);
+    tenuresWith(options, standby).filter(
+      tenure => standbySilenceMs(ctx, tenure) > ms,
+    );
+  if (silent(timing.standbyTimeoutMs).length === 0) return;
+  const res = await ctx.peers.probe(standby.address, timing.responseTimeoutMs);
   const isThere = res.ok && sameIncarnation(res.val, standby);
   // It answers, but does not consent: it may not have read the view yet.
-  const patience = isThere ? 2 * timing.authorityMs : timing.standbySilenceMs;
+  const patience = isThere ? 2 * timing.authorityMs : timing.standbyTimeoutMs;
   doubt(silent(patience), isThere ? 'refuses consent' : 'silent');
 }
 
 /** Our own pause must not count as silence of the standby. */
-function silentFor(ctx: OwnershipContext, tenure: Tenure): number {
+function standbySilenceMs(ctx: OwnershipContext, tenure: Tenure): number {
   const heardAt = Math.max(
-    tenure.holder.consentedAt(),
-    tenure.viewSince(),
+    tenure.holder.lastConsentAt(),
+    tenure.viewKnownSince(),
     ctx.pauses.awakeSince(),
   );
   return ctx.clock.now() - heardAt;
@@ -103,6 +105,6 @@
   standby: Incarnation,
 ): readonly Tenure[] {
   return leadership
-    .tenures()
+    .activeTenures()
     .filter(({holder}) => sameIncarnation(holder.view().standby, standby));
 }
--- a/packages/ownership/src/control.ts
+++ b/packages/ownership/src/control.ts
@@ -106,13 +106,13 @@
   readonly [K in keyof typeof ownershipSchemas]: Message<K>;
 };
 
-export type ConsentAsk = OwnershipControl['consent']['ask'];
-export type ConsentAnswer = OwnershipControl['consent']['answer'];
+export type ConsentRequest = OwnershipControl['consent']['ask'];
+export type ConsentResponse = OwnershipControl['consent']['answer'];
 export type CellEpoch = OwnershipControl['withdraw']['ask'];
-export type WithdrawAnswer = OwnershipControl['withdraw']['answer'];
-export type ResignAsk = OwnershipControl['resign']['ask'];
-export type ResignedCell = ResignAsk['cells'][number];
-export type LeadsAnswer = OwnershipControl['leads']['answer'];
+export type WithdrawResponse = OwnershipControl['withdraw']['answer'];
+export type ResignRequest = OwnershipControl['resign']['ask'];
+export type ResignedCell = ResignRequest['cells'][number];
+export type LeadsResponse = OwnershipControl['leads']['answer'];
 export type TableMessage = OwnershipControl['table']['ask']['table'];
 
 /** The part of the way to other routers that ownership uses. */
--- a/packages/ownership/src/departure.ts
+++ b/packages/ownership/src/departure.ts
@@ -3,10 +3,10 @@
 import type {Leadership} from './leadership.js';
 import type {Membership} from './membership.js';
 import {resignCells} from './resignation.js';
-import {viewsBackedBy, viewsLedBy} from './views.js';
+import {viewsWithStandby, viewsLedBy} from './views.js';
 
 /** What leaving its roles takes a router. */
-export interface DepartureOptions {
+export interface LeaveOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly leadership: Leadership;
@@ -17,12 +17,13 @@
  * everything ends. Cells whose standby is not there yet get one first, from
  * whoever keeps standbys.
  */
-export async function runDeparture(options: DepartureOptions): Promise<void> {
+export async function runLeaveLoop(options: LeaveOptions): Promise<void> {
   const {ctx, membership} = options;
   const {clock, timing, signal} = ctx;
   while (!signal.aborted) {
-    if (!membership.isWelcome(ctx.self.host)) await handOverReady(options);
-    await sleep(clock, timing.consentMs / 2, signal);
+    if (!membership.mayKeepRoles(ctx.self.host))
+      await handOverReadyCells(options);
+    await sleep(clock, timing.consentIntervalMs / 2, signal);
   }
 }
 
@@ -30,33 +31,36 @@
  * Resolves once this router has no role left, or after `limitMs`, or at once
  * where there is no other router to take them. Its standby roles go because the leaders hear that it leaves.
  */
-export async function waitUntilFree(
-  {ctx, membership}: DepartureOptions,
+export async function waitUntilNoRoles(
+  {ctx, membership}: LeaveOptions,
   limitMs: number,
 ): Promise<void> {
   const {clock, timing, store, self} = ctx;
   const deadline = clock.now() + limitMs;
-  while (clock.now() < deadline && membership.others().length > 0) {
+  while (clock.now() < deadline && membership.otherCandidates().length > 0) {
     const state = store.current();
-    const roles = [...viewsLedBy(state, self), ...viewsBackedBy(state, self)];
+    const roles = [
+      ...viewsLedBy(state, self),
+      ...viewsWithStandby(state, self),
+    ];
     if (roles.length === 0) return;
-    await sleep(clock, timing.tickMs);
+    await sleep(clock, timing.pollIntervalMs);
   }
 }
 
-async function handOverReady({
+async function handOverReadyCells({
   ctx,
   membership,
   leadership,
-}: DepartureOptions): Promise<void> {
-  const ready = leadership.tenures().filter(({holder}) => {
+}: LeaveOptions): Promise<void> {
+  const ready = leadership.activeTenures().filter(({holder}) => {
     const {standby} = holder.view();
-    if (standby === null || holder.hasOpenClaim()) return false;
+    if (standby === null || holder.hasPendingClaim()) return false;
     const isHeard =
-      ctx.clock.now() - holder.consentedAt() < ctx.timing.authorityMs;
+      ctx.clock.now() - holder.lastConsentAt() < ctx.timing.authorityMs;
     return (
       isHeard &&
-      membership.isWelcome(standby.host) &&
+      membership.mayKeepRoles(standby.host) &&
       !membership.isLeaving(standby)
     );
   });
--- a/packages/ownership/src/election.ts
+++ b/packages/ownership/src/election.ts
@@ -41,7 +41,9 @@
     router,
     weight: rendezvousWeight(cell, router.host),
   }));
-  weighed.sort((a, b) => b.weight - a.weight || compare(a.router, b.router));
+  weighed.sort(
+    (a, b) => b.weight - a.weight || compareHosts(a.router, b.router),
+  );
   return weighed.map(({router}) => router);
 }
 
@@ -55,7 +57,7 @@
  * isAmongFirst('holds/0', 'entry-3', routers, 1); // ranks first
  * ```
  */
-export function isAmongFirst(
+export function isRankedWithin(
   cell: CellId,
   host: string,
   routers: readonly RouterHost[],
@@ -67,7 +69,7 @@
   let before = 0;
   for (const router of routers) {
     const other = rendezvousWeight(cell, router.host);
-    const isBefore = other - weight || compare(candidate, router);
+    const isBefore = other - weight || compareHosts(candidate, router);
     if (isBefore > 0 && router !== candidate) before++;
     if (before >= count) return false;
   }
@@ -105,7 +107,7 @@
 export function createRing(routers: readonly RouterHost[]): Ring {
   return routers
     .map(router => ({router, hash: hash32(router.host)}))
-    .sort((a, b) => a.hash - b.hash || compare(a.router, b.router));
+    .sort((a, b) => a.hash - b.hash || compareHosts(a.router, b.router));
 }
 
 /**
@@ -124,7 +126,7 @@
   count: number,
   isFit: (router: RouterHost) => boolean,
 ): readonly RouterHost[] {
-  const start = firstBehind(ring, hash32(cell));
+  const start = firstIndexAtOrAfter(ring, hash32(cell));
   const picked: RouterHost[] = [];
   for (let i = 0; i < ring.length && picked.length < count; i++) {
     const router = ring[(start + i) % ring.length]?.router;
@@ -133,7 +135,7 @@
   return picked;
 }
 
-function firstBehind(ring: Ring, hash: number): number {
+function firstIndexAtOrAfter(ring: Ring, hash: number): number {
   let low = 0;
   let high = ring.length;
   while (low < high) {
@@ -144,6 +146,6 @@
   return low;
 }
 
-function compare(a: RouterHost, b: RouterHost): number {
+function compareHosts(a: RouterHost, b: RouterHost): number {
   return a.host < b.host ? -1 : 1;
 }
--- a/packages/ownership/src/first-claims.ts
+++ b/packages/ownership/src/first-claims.ts
@@ -3,7 +3,7 @@
 import type {ClaimPlan, Claimer} from './claims.js';
 import type {ClusterState} from '@banyandrum/config/state.js';
 import type {OwnershipContext} from './context.js';
-import {cellsOf, isAmongFirst} from './election.js';
+import {cellsOf, isRankedWithin} from './election.js';
 import {createMemo} from './memo.js';
 import type {Membership} from './membership.js';
 
@@ -12,28 +12,28 @@
  * that ranks first at once, each lower one `rankMs` later, so that a router
  * which is listed but not there delays a cell and does not lose it.
  */
-export async function runFirstClaims(
+export async function runInitialClaims(
   ctx: OwnershipContext,
   membership: Membership,
   claimer: Claimer,
   changed: Condition,
 ): Promise<void> {
   const {timing, signal} = ctx;
-  const dueCells = createDueCells(ctx, membership);
+  const dueCells = createDueCellFinder(ctx, membership);
   while (!signal.aborted) {
     const due = dueCells();
     if (due.length > 0) {
       const plans = await Promise.all(
-        due.map(cell => planFirst(ctx, membership, cell)),
+        due.map(cell => planInitialClaim(ctx, membership, cell)),
       );
       await claimer.claim(plans);
     }
-    await changed.wait(timing.consentMs, signal);
+    await changed.wait(timing.consentIntervalMs, signal);
   }
 }
 
 /** Tells which cells without a view it is this router's turn to claim. */
-function createDueCells(
+function createDueCellFinder(
   ctx: OwnershipContext,
   membership: Membership,
 ): () => readonly CellId[] {
@@ -45,8 +45,8 @@
 
   return () => {
     const now = clock.now();
-    const isFresh = now - store.confirmedAt() < timing.logPatienceMs;
-    if (!isFresh || !membership.isKnown()) return [];
+    const isFresh = now - store.confirmedAt() < timing.maxLogAgeMs;
+    if (!isFresh || !membership.isReady()) return [];
     const {inventory, views} = store.current();
     const cells = unclaimedOf(inventory, views);
     const seen = cells.map(cell => [cell, firstSeen.get(cell) ?? now] as const);
@@ -54,8 +54,8 @@
     const routers = membership.candidates();
     return cells.filter(cell => {
       const waited = now - (firstSeen.get(cell) ?? now);
-      const turns = Math.floor(waited / timing.rankMs) + 1;
-      return isAmongFirst(cell, ctx.self.host, routers, turns);
+      const turns = Math.floor(waited / timing.rankDelayMs) + 1;
+      return isRankedWithin(cell, ctx.self.host, routers, turns);
     });
   };
 }
@@ -67,7 +67,7 @@
   return cellsOf(inventory).filter(cell => !views.has(cell));
 }
 
-async function planFirst(
+async function planInitialClaim(
   ctx: OwnershipContext,
   membership: Membership,
   cell: CellId,
--- a/packages/ownership/src/handlers.ts
+++ b/packages/ownership/src/handlers.ts
@@ -2,11 +2,11 @@
 import type {ClusterState} from '@banyandrum/config/state.js';
 import type {ControlHandlers} from '@banyandrum/routers/peers.js';
 import type {OwnershipContext} from './context.js';
-import type {OwnershipControl, WithdrawAnswer} from './control.js';
+import type {OwnershipControl, WithdrawResponse} from './control.js';
 import {fromTableMessage} from './control.js';
 import type {Leadership} from './leadership.js';
 import type {Standby} from './standby.js';
-import {examineLeader, silentFor} from './standby-watch.js';
+import {probeLeader, leaderSilenceMs} from './standby-watch.js';
 
 /** Handlers of the control messages that other routers send. */
 export function createHandlers(
@@ -22,7 +22,7 @@
       stored: standby.storeTable(from, table),
     }),
     withdraw: (_from, {cell, epoch}) =>
-      answerWithdraw(ctx, standby, cell, epoch),
+      handleWithdraw(ctx, standby, cell, epoch),
     resign: async (from, {cells}) => {
       const accepted = cells.filter(({cell, epoch, cleared, table}) =>
         standby.acceptResignation(from, cell, epoch, {
@@ -33,11 +33,11 @@
       return {accepted: accepted.map(({cell}) => cell)};
     },
     reach: async from => ({
-      reached: (await examineLeader(ctx, from)) === 'there',
+      reached: (await probeLeader(ctx, from)) === 'there',
     }),
     leads: async () => ({
       leading: leadership
-        .tenures()
+        .activeTenures()
         .map(({holder: {cell, epoch}}) => ({cell, epoch})),
       next: store.current().next,
       publication: store.current().publication?.version ?? 0,
@@ -55,26 +55,26 @@
  * the log at hand to claim, which is why this process withdraws here even
  * where it cannot read the log itself.
  */
-async function answerWithdraw(
+async function handleWithdraw(
   ctx: OwnershipContext,
   standby: Standby,
   cell: CellId,
   epoch: Offset,
-): Promise<WithdrawAnswer> {
+): Promise<WithdrawResponse> {
   // Whoever knows a later view neither acts nor consents in an earlier one.
   const known = ctx.store.current().views.get(cell)?.epoch ?? 0;
   if (known > epoch) return {withdrawnForMs: 0, refused: null};
-  const role = standby.backing(cell, epoch);
+  const role = standby.role(cell, epoch);
   if (role === null) return refuse('not the standby of this epoch');
   if (role.withdrawnAt === null) {
-    if (silentFor(ctx, role) <= ctx.timing.suspicionMs) {
+    if (leaderSilenceMs(ctx, role) <= ctx.timing.suspicionMs) {
       return refuse('its leader asks for consent');
     }
-    const proof = await examineLeader(ctx, role.view.leader);
+    const proof = await probeLeader(ctx, role.view.leader);
     if (proof === 'there' || proof === 'paused') {
       return refuse('its leader is not proved lost');
     }
-    if (silentFor(ctx, role) <= ctx.timing.suspicionMs) {
+    if (leaderSilenceMs(ctx, role) <= ctx.timing.suspicionMs) {
       return refuse('its leader asks for consent');
     }
     standby.withdraw(cell, epoch);
@@ -83,6 +83,6 @@
   return {withdrawnForMs: ctx.clock.now() - withdrawnAt, refused: null};
 }
 
-function refuse(reason: string): WithdrawAnswer {
+function refuse(reason: string): WithdrawResponse {
   return {withdrawnForMs: null, refused: reason};
 }
--- a/packages/ownership/src/leadership.ts
+++ b/packages/ownership/src/leadership.ts
@@ -1,22 +1,22 @@
 import type {CellId} from '@banyandrum/base/ids.js';
 import {sameIncarnation} from '@banyandrum/base/ids.js';
 import type {View} from '@banyandrum/config/state.js';
-import type {Authority, Inheritance} from './authority.js';
+import type {Authority, InheritedState} from './authority.js';
 import type {AuthorityHolder} from './authority-holder.js';
 import {createAuthorityHolder} from './authority-holder.js';
 import type {ClaimPlan, Claimer} from './claims.js';
-import {waitUntilCleared} from './clearance.js';
+import {waitForFormerLeaders} from './clearance.js';
 import type {OwnershipContext} from './context.js';
 import type {LedCell} from './led-cell.js';
 import type {ShardTable} from './table.js';
-import {isCurrent, viewsLedBy} from './views.js';
+import {isCurrentView, viewsLedBy} from './views.js';
 
 /** What a cell's leader is started with, once for each tenure. */
 export interface StartCellOptions {
   readonly cell: CellId;
   /** Its epoch grows when the standby is replaced under the same leader. */
   readonly authority: Authority;
-  readonly inheritance: Inheritance;
+  readonly inheritance: InheritedState;
   /** Aborted when the tenure is over. */
   readonly signal: AbortSignal;
 }
@@ -41,7 +41,7 @@
 export interface Tenure {
   readonly holder: AuthorityHolder;
   /** When the newest of its views became known here. */
-  viewSince(): number;
+  viewKnownSince(): number;
   /** When it ended; `Infinity` before. */
   endedAt(): number;
   /** Whether all earlier leaders are known to have stopped. */
@@ -53,29 +53,29 @@
   /** Brings what runs in line with the newest views. */
   reconcile(): void;
   /** Tenures that have not ended and whose view is current. */
-  tenures(): readonly Tenure[];
+  activeTenures(): readonly Tenure[];
   /**
    * Tenures that ended here though their view is still current: cells that
    * were to be handed over and that nobody has taken so far.
    */
-  lapsed(): readonly Tenure[];
+  endedCurrentTenures(): readonly Tenure[];
   ledCell(cell: CellId): LedCell | null;
   /**
    * Ends the right to act at once and for good, then stops the work; yields
    * the final table, or null where there is none.
    */
-  end(tenure: Tenure): Promise<ShardTable | null>;
+  endTenure(tenure: Tenure): Promise<ShardTable | null>;
   /** Ends everything. */
   stop(): Promise<void>;
 }
 
-interface Term extends Tenure {
+interface TenureState extends Tenure {
   readonly abort: AbortController;
   readonly running: Promise<RunningCell | null>;
   led: LedCell | null;
-  since: number;
-  endTime: number;
-  ended: Promise<ShardTable | null> | null;
+  viewKnownAt: number;
+  endedAtMs: number;
+  finalTable: Promise<ShardTable | null> | null;
 }
 
 /**
@@ -93,21 +93,21 @@
   claimer: Claimer,
   startCell: StartCell,
 ): Leadership {
-  const terms = new Map<CellId, Term>();
+  const terms = new Map<CellId, TenureState>();
 
   /** Ends a term; the right goes first, before anything is awaited. */
-  const endTerm = (term: Term): Promise<ShardTable | null> => {
-    term.holder.end();
+  const endTerm = (term: TenureState): Promise<ShardTable | null> => {
+    term.holder.revoke();
     term.abort.abort();
-    if (term.ended !== null) return term.ended;
-    term.endTime = ctx.clock.now();
-    term.ended = stopRunning(term);
-    return term.ended;
+    if (term.finalTable !== null) return term.finalTable;
+    term.endedAtMs = ctx.clock.now();
+    term.finalTable = stopLeader(term);
+    return term.finalTable;
   };
 
   /** The table of the term that ended with the claim, or that of the plan. */
   const inheritedTable = async (
-    before: Term | undefined,
+    before: TenureState | undefined,
     plan: ClaimPlan | null,
   ): Promise<ShardTable | null> => {
     if (before === undefined) return plan?.table ?? null;
@@ -117,7 +117,7 @@
   };
 
   const start = async (
-    term: Term,
+    term: TenureState,
     cleared: Promise<void>,
     inherited: Promise<ShardTable | null>,
   ): Promise<RunningCell | null> => {
@@ -143,16 +143,16 @@
       ? Promise.resolve()
       : whenCleared(ctx, view, abort.signal);
     void cleared.then(() => (isCleared = true));
-    const term: Term = {
+    const term: TenureState = {
       holder: createAuthorityHolder(ctx, view),
       isCleared: () => isCleared,
-      viewSince: () => term.since,
+      viewKnownSince: () => term.viewKnownAt,
       abort,
       led: null,
-      since: ctx.clock.now(),
-      endedAt: () => term.endTime,
-      endTime: Infinity,
-      ended: null,
+      viewKnownAt: ctx.clock.now(),
+      endedAt: () => term.endedAtMs,
+      endedAtMs: Infinity,
+      finalTable: null,
       running: Promise.resolve().then(() =>
         start(term, cleared, inherited).catch((err: unknown) => {
           ctx.log.error('cell did not start', {cell, epoch, err: String(err)});
@@ -163,20 +163,20 @@
     terms.set(cell, term);
   };
 
-  const goOn = (term: Term, view: View): void => {
+  const goOn = (term: TenureState, view: View): void => {
     ctx.log.info('leading on', {
       cell: view.cell,
       epoch: view.epoch,
       standby: view.standby?.host,
     });
-    term.since = ctx.clock.now();
-    term.holder.moveTo(view);
+    term.viewKnownAt = ctx.clock.now();
+    term.holder.advanceTo(view);
   };
 
   // Only a claim that named this term's epoch continues the term; anything
   // else means that another leader was there in between.
-  const continues = (term: Term, view: View): boolean =>
-    term.ended === null &&
+  const continues = (term: TenureState, view: View): boolean =>
+    term.finalTable === null &&
     claimer.planOf(view)?.claim.previous === term.holder.epoch;
 
   const reconcile = (): void => {
@@ -196,24 +196,24 @@
     }
   };
 
-  const isInForce = ({holder}: Term): boolean =>
-    isCurrent(ctx.store.current(), holder.view());
+  const isInForce = ({holder}: TenureState): boolean =>
+    isCurrentView(ctx.store.current(), holder.view());
 
-  const isOngoing = (term: Term): boolean =>
-    term.ended === null && isInForce(term);
+  const isOngoing = (term: TenureState): boolean =>
+    term.finalTable === null && isInForce(term);
 
   return {
     reconcile,
-    tenures: () => [...terms.values()].filter(isOngoing),
-    lapsed: () =>
+    activeTenures: () => [...terms.values()].filter(isOngoing),
+    endedCurrentTenures: () =>
       [...terms.values()].filter(
-        term => term.ended !== null && isInForce(term),
+        term => term.finalTable !== null && isInForce(term),
       ),
     ledCell(cell) {
       const term = terms.get(cell);
       return term && isOngoing(term) ? term.led : null;
     },
-    end(tenure) {
+    endTenure(tenure) {
       const term = terms.get(tenure.holder.cell);
       return term === tenure ? endTerm(term) : Promise.resolve(null);
     },
@@ -228,11 +228,11 @@
  * that has recorded nothing so far may still be asking the servers, and a
  * successor would take shards for free that are not.
  */
-async function stopRunning(term: Term): Promise<ShardTable | null> {
+async function stopLeader(term: TenureState): Promise<ShardTable | null> {
   const running = await term.running;
   if (running === null) return null;
   const table = await running.stop();
-  return term.holder.hasRecorded() ? table : null;
+  return term.holder.hasRecordedTable() ? table : null;
 }
 
 /** Never resolves where the term ends before. */
@@ -241,6 +241,6 @@
   view: View,
   signal: AbortSignal,
 ): Promise<void> {
-  await waitUntilCleared(ctx, view, signal);
+  await waitForFormerLeaders(ctx, view, signal);
   if (signal.aborted) await new Promise<never>(() => {});
 }
--- a/packages/ownership/src/membership.ts
+++ b/packages/ownership/src/membership.ts
@@ -7,29 +7,29 @@
 import {isAttestedLost} from './views.js';
 
 /** The newest host list that was read; null before the first. */
-export interface LiveHosts {
+export interface HostListReader {
   current(): readonly Host[] | null;
 }
 
 /** Which routers may take roles, and which run of each is there now. */
 export interface Membership {
   /** Whether the host list was read, or is not to be waited for longer. */
-  isKnown(): boolean;
+  isReady(): boolean;
   /**
    * Routers that may take new roles, this one among them if it may; the same
    * array for as long as nothing changes.
    */
   candidates(): readonly RouterHost[];
   /** The same without this one. */
-  others(): readonly RouterHost[];
+  otherCandidates(): readonly RouterHost[];
   /** The candidates on a ring, made once for each list of them. */
   ring(): Ring;
   /** The run of the process at a router, or null where none answers. */
-  find(router: RouterHost): Promise<Incarnation | null>;
+  findIncarnation(router: RouterHost): Promise<Incarnation | null>;
   /** Those of the others that answer. */
-  findOthers(): Promise<readonly Incarnation[]>;
+  findOtherIncarnations(): Promise<readonly Incarnation[]>;
   /** Whether the router may keep its roles: neither drained nor leaving. */
-  isWelcome(host: string): boolean;
+  mayKeepRoles(host: string): boolean;
   /**
    * The best standby for a cell that answers, or null where none does.
    * The host of `unfit` is left out.
@@ -39,20 +39,20 @@
     unfit: Incarnation | null,
   ): Promise<Incarnation | null>;
   /** Takes note that a run is about to stop, so that it gets no new role. */
-  noteLeaving(incarnation: Incarnation): void;
+  markLeaving(incarnation: Incarnation): void;
   isLeaving(incarnation: Incarnation): boolean;
 }
 
-interface Sighting {
+interface CachedProbe {
   readonly at: number;
-  readonly found: Promise<Incarnation | null>;
+  readonly result: Promise<Incarnation | null>;
 }
 
 /** How long an answer to "who is there" is believed, in ms. */
-const SIGHTING_MS = 1000;
+const PROBE_CACHE_MS = 1000;
 
 /** How long cells wait for the first host list before they are claimed. */
-const HOSTS_PATIENCE_MS = 10_000;
+const HOST_LIST_TIMEOUT_MS = 10_000;
 
 /**
  * Joins the lagging host list with what this process sees itself. Routers
@@ -66,12 +66,12 @@
  */
 export function createMembership(
   ctx: OwnershipContext,
-  hosts: LiveHosts,
+  hosts: HostListReader,
   isStopping: () => boolean,
 ): Membership {
   const {self, clock, store} = ctx;
   const startedAt = clock.now();
-  const sightings = new Map<string, Sighting>();
+  const sightings = new Map<string, CachedProbe>();
   const leaving = new Set<string>();
 
   const routersByName = createMemo(indexRouters);
@@ -110,31 +110,32 @@
   const ringOf = createMemo(createRing);
 
   const probe = async (address: string): Promise<Incarnation | null> => {
-    const res = await ctx.peers.probe(address, ctx.timing.answerMs);
+    const res = await ctx.peers.probe(address, ctx.timing.responseTimeoutMs);
     return res.ok ? res.val : null;
   };
 
   const find = (router: RouterHost): Promise<Incarnation | null> => {
     const known = sightings.get(router.host);
     const now = clock.now();
-    if (known && now - known.at < SIGHTING_MS) return known.found;
+    if (known && now - known.at < PROBE_CACHE_MS) return known.result;
     const found = probe(router.address);
-    sightings.set(router.host, {at: now, found});
+    sightings.set(router.host, {at: now, result: found});
     return found;
   };
 
   return {
-    isKnown: () =>
-      hosts.current() !== null || clock.now() - startedAt > HOSTS_PATIENCE_MS,
+    isReady: () =>
+      hosts.current() !== null ||
+      clock.now() - startedAt > HOST_LIST_TIMEOUT_MS,
     candidates,
-    others,
+    otherCandidates: others,
     ring: () => ringOf(candidates()),
-    find,
-    async findOthers() {
+    findIncarnation: find,
+    async findOtherIncarnations() {
       const found = await Promise.all(others().map(find));
       return found.filter(incarnation => incarnation !== null);
     },
-    isWelcome,
+    mayKeepRoles: isWelcome,
     async findStandby(cell, unfit) {
       const fit = others().filter(({host}) => host !== unfit?.host);
       for (const router of rankStandbys(cell, self, fit)) {
@@ -143,7 +144,7 @@
       }
       return null;
     },
-    noteLeaving: ({boot}) => void leaving.add(boot),
+    markLeaving: ({boot}) => void leaving.add(boot),
     isLeaving: ({boot}) => leaving.has(boot),
   };
 }
--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -3,13 +3,13 @@
 import {sameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {ClaimPlan, Claimer} from './claims.js';
-import {isGone} from './clearance.js';
+import {isKnownTerminated} from './clearance.js';
 import type {OwnershipContext} from './context.js';
 import type {Ring, RouterHost} from './election.js';
 import {pickFromRing} from './election.js';
 import {createMemo} from './memo.js';
 import type {Membership} from './membership.js';
-import {examineLeader} from './standby-watch.js';
+import {probeLeader} from './standby-watch.js';
 
 /** What the watch of cells without a role in them works with. */
 export interface OrphanWatchOptions {
@@ -57,7 +57,7 @@
   const {clock, timing} = ctx;
   let lostSince: number | null = null;
   while (!signal.aborted) {
-    await sleep(clock, timing.watchMs, signal);
+    await sleep(clock, timing.watchIntervalMs, signal);
     const proof = await lookFor(ctx, leader);
     if (signal.aborted) return;
     if (proof === 'there' || proof === 'paused') {
@@ -78,12 +78,17 @@
 async function lookFor(
   ctx: OwnershipContext,
   leader: Incarnation,
-): ReturnType<typeof examineLeader> {
-  if (isGone(ctx, leader)) return 'gone';
-  const res = await ctx.peers.ask(leader, 'leads', {}, ctx.timing.answerMs);
+): ReturnType<typeof probeLeader> {
+  if (isKnownTerminated(ctx, leader)) return 'gone';
+  const res = await ctx.peers.ask(
+    leader,
+    'leads',
+    {},
+    ctx.timing.responseTimeoutMs,
+  );
   if (res.ok) return 'there';
   if (res.val.kind === 'other-incarnation') return 'gone';
-  return examineLeader(ctx, leader);
+  return probeLeader(ctx, leader);
 }
 
 /** Views whose turn has come for this router by its rank. */
@@ -97,15 +102,16 @@
   const {clock, store, timing} = ctx;
   const ring = membership.ring();
   // Without the log at hand no claim can follow, so don't end a consent.
-  if (clock.now() - store.confirmedAt() >= timing.logPatienceMs) return [];
+  if (clock.now() - store.confirmedAt() >= timing.maxLogAgeMs) return [];
   return [...store.current().views.values()].filter(view => {
     if (!sameIncarnation(view.leader, leader)) return false;
     const rank = watchRank(ctx, ring, view);
     if (rank === null) return false;
     // The standby, if there is one, is to have its chance first.
-    const isAlone = view.standby === null || isGone(ctx, view.standby);
+    const isAlone =
+      view.standby === null || isKnownTerminated(ctx, view.standby);
     const graceMs = isLeaderGone && isAlone ? 0 : 2 * timing.suspicionMs;
-    return lostForMs >= graceMs + rank * timing.rankMs;
+    return lostForMs >= graceMs + rank * timing.rankDelayMs;
   });
 }
 
@@ -153,8 +159,8 @@
   view: View,
 ): Promise<StandbyState> {
   const {standby, cell, epoch} = view;
-  const {authorityMs, answerMs} = ctx.timing;
-  if (standby === null || isGone(ctx, standby)) return 'over';
+  const {authorityMs, responseTimeoutMs: answerMs} = ctx.timing;
+  if (standby === null || isKnownTerminated(ctx, standby)) return 'over';
   const ask = {cell, epoch};
   // Longer than an answer takes: the standby probes its leader first.
   const res = await ctx.peers.ask(standby, 'withdraw', ask, 2 * answerMs);
@@ -164,7 +170,7 @@
     return isStuck ? 'over' : 'serving';
   }
   if (res.val.kind === 'other-incarnation') return 'over';
-  const proof = await examineLeader(ctx, standby);
+  const proof = await probeLeader(ctx, standby);
   if (proof === 'gone') return 'over';
   return proof === 'silent' ? 'silent' : 'serving';
 }
@@ -179,9 +185,9 @@
   {leader, standby}: View,
 ): Promise<boolean> {
   const others = membership
-    .others()
+    .otherCandidates()
     .filter(({host}) => host !== leader.host && host !== standby?.host);
-  const found = await membership.findOthers();
+  const found = await membership.findOtherIncarnations();
   const reached = found.filter(({host}) =>
     others.some(other => other.host === host),
   );
--- a/packages/ownership/src/reach-watch.ts
+++ b/packages/ownership/src/reach-watch.ts
@@ -1,7 +1,7 @@
 import {sleep} from '@banyandrum/base/clock.js';
 import type {Incarnation} from '@banyandrum/base/ids.js';
 import type {OwnershipContext} from './context.js';
-import {examineLeader} from './standby-watch.js';
+import {probeLeader} from './standby-watch.js';
 import {incarnationKey} from './views.js';
 
 /** Whether new connections to leaders get through, as their standby sees. */
@@ -30,7 +30,7 @@
       const key = incarnationKey(leader);
       while (!signal.aborted) {
         await sleep(ctx.clock, TRY_MS, signal);
-        const proof = await examineLeader(ctx, leader);
+        const proof = await probeLeader(ctx, leader);
         if (proof === 'there') misses.delete(key);
         if (proof === 'silent') misses.set(key, (misses.get(key) ?? 0) + 1);
       }
--- a/packages/ownership/src/rebalance.ts
+++ b/packages/ownership/src/rebalance.ts
@@ -29,7 +29,7 @@
   const {clock, timing, signal} = ctx;
   while (!signal.aborted) {
     // Apart from the others', which would else all choose the same router.
-    const pauseMs = timing.rebalanceMs * (0.5 + ctx.random());
+    const pauseMs = timing.rebalanceIntervalMs * (0.5 + ctx.random());
     await sleep(clock, pauseMs, signal);
     if (!signal.aborted) await moveOne(options);
   }
@@ -40,11 +40,13 @@
   const counts = countLed(ctx.store.current());
   const countOf = ({host}: {readonly host: string}): number =>
     counts.get(host) ?? 0;
-  const [least] = [...membership.others()].sort(
+  const [least] = [...membership.otherCandidates()].sort(
     (a, b) => countOf(a) - countOf(b) || (a.host < b.host ? -1 : 1),
   );
   if (!least || countOf(ctx.self) < countOf(least) + UNEVEN_BY) return;
-  const movable = leadership.tenures().filter(tenure => tenure.isCleared());
+  const movable = leadership
+    .activeTenures()
+    .filter(tenure => tenure.isCleared());
   const tenure = bestFor(least, movable);
   if (tenure) await transfer(options, tenure, least);
 }
@@ -60,9 +62,9 @@
     await makeStandby(options, tenure, target);
   }
   const isReady =
-    leadership.tenures().includes(tenure) &&
+    leadership.activeTenures().includes(tenure) &&
     tenure.holder.view().standby?.host === target.host &&
-    (await tenure.holder.synchronise());
+    (await tenure.holder.sendTableToStandby());
   if (isReady) await resignCells(ctx, leadership, [tenure]);
 }
 
@@ -71,16 +73,16 @@
   tenure: Tenure,
   target: RouterHost,
 ): Promise<void> {
-  const standby = await membership.find(target);
+  const standby = await membership.findIncarnation(target);
   const {cell, epoch: previous} = tenure.holder;
   const {store, clock, timing} = ctx;
   const isLogFresh = clock.now() - store.confirmedAt() < timing.authorityMs / 2;
   if (standby === null || !isLogFresh) return;
   const claim = {cell, previous, leader: ctx.self, standby, settled: true};
-  tenure.holder.forgoConsent();
+  tenure.holder.suspendConsent();
   const plan = {claim, table: null, clearedBefore: true};
   const outcome = await claimer.claim([plan]);
-  if (outcome === 'not-appended') tenure.holder.regainConsent(previous);
+  if (outcome === 'not-appended') tenure.holder.restoreConsent(previous);
 }
 
 function bestFor(
--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -1,6 +1,6 @@
 import {type Clock, sleep} from '@banyandrum/base/clock.js';
 import type {ShardId} from '@banyandrum/base/ids.js';
-import type {Inheritance} from './authority.js';
+import type {InheritedState} from './authority.js';
 import {untilAborted} from './condition.js';
 import type {LeaseRegistry} from './lease-registry.js';
 import type {LeaseTask} from './lease-task.js';
@@ -15,7 +15,7 @@
 import type {ShardEntry, ShardTable} from './table.js';
 
 export interface RecoveryOptions {
-  readonly inheritance: Inheritance;
+  readonly inheritance: InheritedState;
   readonly map: ShardMap;
   readonly registry: LeaseRegistry;
   readonly recorder: TableRecorder;
--- a/packages/ownership/src/resignation.ts
+++ b/packages/ownership/src/resignation.ts
@@ -41,9 +41,9 @@
   tenures: readonly Tenure[],
 ): Promise<void> {
   const cells = await Promise.all(
-    tenures.map(tenure => stopCell(leadership, tenure)),
+    tenures.map(tenure => stopAndPackCell(leadership, tenure)),
   );
-  const {answerMs} = ctx.timing;
+  const {responseTimeoutMs: answerMs} = ctx.timing;
   const res = await ctx.peers.ask(peer, 'resign', {cells}, answerMs);
   const accepted = res.ok ? res.val.accepted.length : 0;
   ctx.log.info('cells handed over', {
@@ -53,12 +53,12 @@
   });
 }
 
-async function stopCell(
+async function stopAndPackCell(
   leadership: Leadership,
   tenure: Tenure,
 ): Promise<ResignedCell> {
   const {cell, epoch} = tenure.holder;
   const cleared = tenure.isCleared();
-  const table = await leadership.end(tenure);
+  const table = await leadership.endTenure(tenure);
   return {cell, epoch, cleared, table: table && toTableMessage(table)};
 }
--- a/packages/ownership/src/run-ownership.ts
+++ b/packages/ownership/src/run-ownership.ts
@@ -8,16 +8,16 @@
 import {createCatchUp} from './catch-up.js';
 import {createClaimer} from './claims.js';
 import {createCondition} from './condition.js';
-import {runConsent} from './consent.js';
-import {runDeparture, waitUntilFree} from './departure.js';
+import {runConsentLoop} from './consent.js';
+import {runLeaveLoop, waitUntilNoRoles} from './departure.js';
 import type {OwnershipContext} from './context.js';
 import type {OwnershipControl, OwnershipPeers} from './control.js';
-import {runFirstClaims} from './first-claims.js';
+import {runInitialClaims} from './first-claims.js';
 import {createHandlers} from './handlers.js';
 import type {StartCell} from './leadership.js';
 import {createLeadership} from './leadership.js';
 import type {LedCell} from './led-cell.js';
-import type {LiveHosts} from './membership.js';
+import type {HostListReader} from './membership.js';
 import {createMembership} from './membership.js';
 import {createWatchedLeaders, runOrphanWatch} from './orphan-watch.js';
 import {createPauseDetector} from './pauses.js';
@@ -25,17 +25,17 @@
 import {runRebalance} from './rebalance.js';
 import {createReachWatch} from './reach-watch.js';
 import {createStandby} from './standby.js';
-import {createStandbyKeeper} from './standby-keeper.js';
+import {createStandbyManager} from './standby-keeper.js';
 import {runStandbyWatch} from './standby-watch.js';
 import {runTakeover} from './takeover.js';
 import type {AuthorityTiming} from './timing.js';
 import {createUnreached} from './unreached.js';
-import {viewsBackedBy} from './views.js';
+import {viewsWithStandby} from './views.js';
 
 export interface OwnershipOptions {
   readonly self: Incarnation;
   readonly store: StateStore;
-  readonly hosts: LiveHosts;
+  readonly hosts: HostListReader;
   readonly peers: OwnershipPeers;
   readonly clock: Clock;
   readonly log: Logger;
@@ -48,7 +48,7 @@
   readonly random?: () => number;
 }
 
-const STOP_LIMIT_MS = 5000;
+const STOP_TIMEOUT_MS = 5000;
 
 /** Views, authority and takeover of one router process. */
 export interface Ownership {
@@ -98,13 +98,13 @@
   const catchUp = createCatchUp({...ctx, hosts: options.hosts});
   const reach = createReachWatch(ctx);
   const standby = createStandby(ctx, {
-    isLeaving: () => !membership.isWelcome(self.host),
+    isLeaving: () => !membership.mayKeepRoles(self.host),
     isUnreached: reach.isUnreached,
     onWithdrawn: withdrawn.notify,
     onNewerEpoch: catchUp.pull,
   });
   const departure = {ctx, membership, leadership};
-  const keeper = createStandbyKeeper(
+  const keeper = createStandbyManager(
     ctx,
     membership,
     claimer,
@@ -115,7 +115,7 @@
   const noteUnreached = createUnreached({ctx, membership, leadership, doubt});
   const consent = {ctx, membership, leadership, doubt, noteUnreached};
   const asking = createPeerTasks((peer, ended) =>
-    runConsent(consent, peer, ended),
+    runConsentLoop(consent, peer, ended),
   );
   const backed = createPeerTasks(async (peer, ended) => {
     void reach.run(peer, ended);
@@ -131,9 +131,11 @@
     leadership.reconcile();
     standby.reconcile();
     asking.sync(
-      leadership.tenures().flatMap(({holder}) => holder.view().standby ?? []),
+      leadership
+        .activeTenures()
+        .flatMap(({holder}) => holder.view().standby ?? []),
     );
-    const backings = viewsBackedBy(store.current(), self);
+    const backings = viewsWithStandby(store.current(), self);
     backed.sync(backings.map(({leader}) => leader));
     changed.notify();
     for (const listener of listeners) listener();
@@ -143,17 +145,17 @@
   const watchOrphans = async (): Promise<void> => {
     while (!signal.aborted) {
       watched.sync(watchedLeaders());
-      await sleep(clock, timing.watchMs, signal);
+      await sleep(clock, timing.watchIntervalMs, signal);
     }
   };
 
   const unsubscribe = store.subscribe(reconcile);
   reconcile();
   void catchUp.runUntilRead();
-  void runFirstClaims(ctx, membership, claimer, changed);
+  void runInitialClaims(ctx, membership, claimer, changed);
   void runTakeover(ctx, membership, standby, claimer, withdrawn);
   void runRebalance({ctx, membership, claimer, leadership});
-  void runDeparture(departure);
+  void runLeaveLoop(departure);
   void keeper.run();
   void watchOrphans();
 
@@ -165,9 +167,9 @@
       listeners.add(listener);
       return () => void listeners.delete(listener);
     },
-    async stop(limitMs = STOP_LIMIT_MS) {
+    async stop(limitMs = STOP_TIMEOUT_MS) {
       isStopping = true;
-      await waitUntilFree(departure, limitMs);
+      await waitUntilNoRoles(departure, limitMs);
       unsubscribe();
       abort.abort();
       for (const tasks of [asking, backed, watched]) tasks.stop();
--- a/packages/ownership/src/standby-keeper.ts
+++ b/packages/ownership/src/standby-keeper.ts
@@ -1,5 +1,5 @@
 import type {ClaimPlan, Claimer} from './claims.js';
-import {isGone} from './clearance.js';
+import {isKnownTerminated} from './clearance.js';
 import type {Condition} from './condition.js';
 import type {OwnershipContext} from './context.js';
 import type {Leadership, Tenure} from './leadership.js';
@@ -8,7 +8,7 @@
 const MAX_BACKOFF_MS = 2000;
 
 /** Sees to it that every cell led here has a standby. */
-export interface StandbyKeeper {
+export interface StandbyManager {
   /** The standby of these cells cannot be relied on any more. */
   doubt(tenures: readonly Tenure[], reason: string): void;
   /** Runs until everything ends. */
@@ -24,35 +24,39 @@
  * void createStandbyKeeper(...parts).run();
  * ```
  */
-export function createStandbyKeeper(
+export function createStandbyManager(
   ctx: OwnershipContext,
   membership: Membership,
   claimer: Claimer,
   leadership: Leadership,
   changed: Condition,
-): StandbyKeeper {
+): StandbyManager {
   const {clock, store, timing, signal} = ctx;
   const doubtedAt = new WeakMap<Tenure, number>();
 
   const isDoubted = (tenure: Tenure): boolean => {
     const at = doubtedAt.get(tenure) ?? -Infinity;
-    return at > tenure.viewSince() && at > tenure.holder.consentedAt();
+    return at > tenure.viewKnownSince() && at > tenure.holder.lastConsentAt();
   };
 
   const isUnfit = (tenure: Tenure): boolean => {
     const {standby} = tenure.holder.view();
     if (standby === null) return membership.candidates().length > 1;
     if (isDoubted(tenure) || membership.isLeaving(standby)) return true;
-    return !membership.isWelcome(standby.host) || isGone(ctx, standby);
+    return (
+      !membership.mayKeepRoles(standby.host) || isKnownTerminated(ctx, standby)
+    );
   };
 
   const needsClaim = (tenure: Tenure): boolean =>
-    tenure.holder.hasOpenClaim() || isUnfit(tenure) || hasPairsToSettle(tenure);
+    tenure.holder.hasPendingClaim() ||
+    isUnfit(tenure) ||
+    hasUnsettledPairs(tenure);
 
   // A cell that was handed over and that nobody took. This process may not go
   // on by its old right; with a claim of its own it starts anew.
   const isAbandoned = (tenure: Tenure): boolean =>
-    membership.isWelcome(ctx.self.host) &&
+    membership.mayKeepRoles(ctx.self.host) &&
     clock.now() - tenure.endedAt() > 2 * timing.suspicionMs;
 
   const plan = async (tenure: Tenure): Promise<ClaimPlan | null> => {
@@ -77,11 +81,11 @@
       return [{tenure, claim}];
     });
     if (wanted.length === 0) return true;
-    for (const {tenure} of wanted) tenure.holder.forgoConsent();
+    for (const {tenure} of wanted) tenure.holder.suspendConsent();
     const outcome = await claimer.claim(wanted.map(({claim}) => claim));
     if (outcome !== 'not-appended') return outcome === 'appended';
     for (const {tenure, claim} of wanted) {
-      tenure.holder.regainConsent(claim.claim.previous);
+      tenure.holder.restoreConsent(claim.claim.previous);
     }
     return false;
   };
@@ -92,13 +96,13 @@
   const mayClaim = (tenure: Tenure): boolean => {
     const age = clock.now() - store.confirmedAt();
     if (age < timing.authorityMs / 2) return true;
-    return age < timing.logPatienceMs && !tenure.holder.mayAct();
+    return age < timing.maxLogAgeMs && !tenure.holder.mayAct();
   };
 
   const findNeedy = (): readonly Tenure[] =>
     [
-      ...leadership.tenures().filter(needsClaim),
-      ...leadership.lapsed().filter(isAbandoned),
+      ...leadership.activeTenures().filter(needsClaim),
+      ...leadership.endedCurrentTenures().filter(isAbandoned),
     ].filter(mayClaim);
 
   return {
@@ -112,12 +116,12 @@
       if (tenures.length > 0) changed.notify();
     },
     async run() {
-      let backoffMs = timing.consentMs;
+      let backoffMs = timing.consentIntervalMs;
       while (!signal.aborted) {
         const needy = findNeedy();
         const isDone = needy.length === 0 || (await renew(needy));
         backoffMs = isDone
-          ? timing.consentMs
+          ? timing.consentIntervalMs
           : Math.min(MAX_BACKOFF_MS, backoffMs * (1 + ctx.random()));
         await changed.wait(backoffMs, signal);
       }
@@ -129,7 +133,7 @@
  * Former pairs are kept in the log until a claim says that they are over. A
  * successor of this process would else wait for hosts that are long gone.
  */
-function hasPairsToSettle(tenure: Tenure): boolean {
+function hasUnsettledPairs(tenure: Tenure): boolean {
   const {unsettled} = tenure.holder.view();
   return tenure.isCleared() && unsettled.some(pair => pair.standby !== null);
 }
--- a/packages/ownership/src/standby-watch.ts
+++ b/packages/ownership/src/standby-watch.ts
@@ -2,8 +2,8 @@
 import type {Incarnation} from '@banyandrum/base/ids.js';
 import {sameIncarnation} from '@banyandrum/base/ids.js';
 import type {OwnershipContext} from './context.js';
-import type {Backing, Standby} from './standby.js';
-import {isGone} from './clearance.js';
+import type {StandbyRole, Standby} from './standby.js';
+import {isKnownTerminated} from './clearance.js';
 
 /**
  * Watches one leader as its standby, for all cells that it shares with this
@@ -24,14 +24,15 @@
   signal: AbortSignal,
 ): Promise<void> {
   while (!signal.aborted) {
-    await sleep(ctx.clock, untilDoubt(ctx, standby, leader), signal);
-    const doubtful = () => doubtfulRoles(ctx, standby, leader);
+    await sleep(ctx.clock, timeUntilSuspicion(ctx, standby, leader), signal);
+    const doubtful = () => suspectedRoles(ctx, standby, leader);
     if (doubtful().length === 0) continue;
-    const proof = await examineLeader(ctx, leader);
+    const proof = await probeLeader(ctx, leader);
     if (signal.aborted || proof === 'paused') continue;
     const lost = doubtful().filter(role => mayWithdraw(ctx, role, proof));
     // Each look opens a connection, and the log may be down for hours.
-    if (lost.length === 0) await sleep(ctx.clock, ctx.timing.consentMs, signal);
+    if (lost.length === 0)
+      await sleep(ctx.clock, ctx.timing.consentIntervalMs, signal);
     for (const role of lost) {
       const {cell, epoch} = role.view;
       ctx.log.warn('leader lost', {cell, epoch, host: leader.host, proof});
@@ -47,72 +48,79 @@
  * - `paused`: this process stood still meanwhile, so that silence shows
  *   nothing.
  */
-export type Proof = 'there' | 'silent' | 'gone' | 'paused';
+export type LeaderProbeResult = 'there' | 'silent' | 'gone' | 'paused';
 
 /** Asks on a new connection whether a leader is still there. */
-export async function examineLeader(
+export async function probeLeader(
   ctx: OwnershipContext,
   leader: Incarnation,
-): Promise<Proof> {
-  if (isGone(ctx, leader)) return 'gone';
+): Promise<LeaderProbeResult> {
+  if (isKnownTerminated(ctx, leader)) return 'gone';
   const startedAt = ctx.clock.now();
-  const res = await ctx.peers.probe(leader.address, ctx.timing.answerMs);
+  const res = await ctx.peers.probe(
+    leader.address,
+    ctx.timing.responseTimeoutMs,
+  );
   if (res.ok) return sameIncarnation(res.val, leader) ? 'there' : 'gone';
   return ctx.pauses.awakeSince() > startedAt ? 'paused' : 'silent';
 }
 
 /** When to look again: when the leader would have been silent too long. */
-function untilDoubt(
+function timeUntilSuspicion(
   ctx: OwnershipContext,
   standby: Standby,
   leader: Incarnation,
 ): number {
-  const {suspicionMs, tickMs} = ctx.timing;
+  const {suspicionMs, pollIntervalMs: tickMs} = ctx.timing;
   const silences = standby
-    .backings()
+    .roles()
     .filter(role => isConsentedTo(role, leader))
-    .map(role => silentFor(ctx, role));
+    .map(role => leaderSilenceMs(ctx, role));
   return Math.max(tickMs, suspicionMs - Math.max(0, ...silences) + 1);
 }
 
-function isConsentedTo(role: Backing, leader: Incarnation): boolean {
+function isConsentedTo(role: StandbyRole, leader: Incarnation): boolean {
   const isOf = sameIncarnation(role.view.leader, leader);
   return isOf && role.withdrawnAt === null;
 }
 
-function doubtfulRoles(
+function suspectedRoles(
   ctx: OwnershipContext,
   standby: Standby,
   leader: Incarnation,
-): readonly Backing[] {
+): readonly StandbyRole[] {
   return standby
-    .backings()
+    .roles()
     .filter(
       role =>
         isConsentedTo(role, leader) &&
-        (isGone(ctx, leader) || silentFor(ctx, role) > ctx.timing.suspicionMs),
+        (isKnownTerminated(ctx, leader) ||
+          leaderSilenceMs(ctx, role) > ctx.timing.suspicionMs),
     );
 }
 
 function mayWithdraw(
   ctx: OwnershipContext,
-  role: Backing,
-  proof: Proof,
+  role: StandbyRole,
+  proof: LeaderProbeResult,
 ): boolean {
   if (proof === 'gone') return true;
   const confirmedAt = ctx.store.confirmedAt();
   const isFresh =
-    confirmedAt > role.heardAt &&
-    ctx.clock.now() - confirmedAt < ctx.timing.logPatienceMs;
+    confirmedAt > role.lastRequestAt &&
+    ctx.clock.now() - confirmedAt < ctx.timing.maxLogAgeMs;
   if (!isFresh) return false;
   // It answers but doesn't ask: most likely it does not know yet that it
   // leads. It gets more time, not all of it.
   const patience = proof === 'there' ? 3 : 1;
-  return silentFor(ctx, role) > patience * ctx.timing.suspicionMs;
+  return leaderSilenceMs(ctx, role) > patience * ctx.timing.suspicionMs;
 }
 
 /** How long a leader has not asked; our own pauses don't count, in ms. */
-export function silentFor(ctx: OwnershipContext, role: Backing): number {
-  const heardAt = Math.max(role.heardAt, ctx.pauses.awakeSince());
+export function leaderSilenceMs(
+  ctx: OwnershipContext,
+  role: StandbyRole,
+): number {
+  const heardAt = Math.max(role.lastRequestAt, ctx.pauses.awakeSince());
   return ctx.clock.now() - heardAt;
 }
--- a/packages/ownership/src/standby.ts
+++ b/packages/ownership/src/standby.ts
@@ -2,16 +2,16 @@
 import {sameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {OwnershipContext} from './context.js';
-import type {ConsentAnswer, ConsentAsk, TableMessage} from './control.js';
+import type {ConsentResponse, ConsentRequest, TableMessage} from './control.js';
 import {fromTableMessage} from './control.js';
 import type {ShardTable} from './table.js';
-import {isAttestedLost, viewAt, viewsBackedBy} from './views.js';
+import {isAttestedLost, viewAt, viewsWithStandby} from './views.js';
 
 /** What this process keeps as the standby of one cell in one epoch. */
-export interface Backing {
+export interface StandbyRole {
   readonly view: View;
   /** When the leader last asked for consent. */
-  readonly heardAt: number;
+  readonly lastRequestAt: number;
   /** When this process withdrew; null while it still consents. */
   readonly withdrawnAt: number | null;
   /** Set once the leader said that it has stopped. */
@@ -24,9 +24,9 @@
   /** Brings the roles in line with the newest views. */
   reconcile(): void;
   /** Roles of epochs that are current as far as this process knows. */
-  backings(): readonly Backing[];
-  backing(cell: CellId, epoch: Offset): Backing | null;
-  answerConsent(from: Incarnation, ask: ConsentAsk): ConsentAnswer;
+  roles(): readonly StandbyRole[];
+  role(cell: CellId, epoch: Offset): StandbyRole | null;
+  answerConsent(from: Incarnation, ask: ConsentRequest): ConsentResponse;
   storeTable(from: Incarnation, message: TableMessage): boolean;
   /** Ends consent for good; there is no way back within the epoch. */
   withdraw(cell: CellId, epoch: Offset): void;
@@ -53,7 +53,7 @@
   readonly onNewerEpoch: (leader: Incarnation) => void;
 }
 
-type MutableBacking = {-readonly [K in keyof Backing]: Backing[K]};
+type MutableStandbyRole = {-readonly [K in keyof StandbyRole]: StandbyRole[K]};
 
 /**
  * Keeps consent, withdrawal and tables of the cells that this process stands
@@ -69,7 +69,7 @@
   ctx: OwnershipContext,
   options: StandbyOptions,
 ): Standby {
-  const roles = new Map<CellId, MutableBacking>();
+  const roles = new Map<CellId, MutableStandbyRole>();
   let reconciled: ClusterState | null = null;
 
   const reconcile = (): void => {
@@ -79,9 +79,9 @@
     for (const {view} of [...roles.values()]) {
       if (!viewAt(state, view.cell, view.epoch)) roles.delete(view.cell);
     }
-    for (const view of viewsBackedBy(state, ctx.self)) {
+    for (const view of viewsWithStandby(state, ctx.self)) {
       if (roles.has(view.cell)) continue;
-      roles.set(view.cell, createBacking(view, ctx.clock.now()));
+      roles.set(view.cell, createStandbyRole(view, ctx.clock.now()));
     }
   };
 
@@ -91,7 +91,7 @@
     from: Incarnation,
     cell: CellId,
     epoch: Offset,
-  ): MutableBacking | null => {
+  ): MutableStandbyRole | null => {
     reconcile();
     const known = ctx.store.current().views.get(cell)?.epoch ?? 0;
     if (epoch > known) options.onNewerEpoch(from);
@@ -107,24 +107,24 @@
   ): boolean => {
     const role = roleFor(from, cell, epoch);
     if (role === null) return false;
-    role.heardAt = ctx.clock.now();
+    role.lastRequestAt = ctx.clock.now();
     // An operator's word that this run is lost may have cleared a successor.
     const isLost = isAttestedLost(ctx.store.current(), ctx.self);
     return role.withdrawnAt === null && !isLost;
   };
 
-  const withdraw = (role: MutableBacking): void => {
+  const withdraw = (role: MutableStandbyRole): void => {
     role.withdrawnAt ??= ctx.clock.now();
     options.onWithdrawn();
   };
 
   return {
     reconcile,
-    backings() {
+    roles() {
       reconcile();
       return [...roles.values()];
     },
-    backing(cell, epoch) {
+    role(cell, epoch) {
       reconcile();
       const role = roles.get(cell);
       return role?.view.epoch === epoch ? role : null;
@@ -161,10 +161,10 @@
   };
 }
 
-function createBacking(view: View, now: number): MutableBacking {
+function createStandbyRole(view: View, now: number): MutableStandbyRole {
   return {
     view,
-    heardAt: now,
+    lastRequestAt: now,
     withdrawnAt: null,
     resigned: null,
     table: null,
@@ -175,7 +175,7 @@
  * Keeps the newer table. A second one of the same version is acknowledged
  * only if it says the same, as when a reply was lost and it is sent again.
  */
-function storeNewer(role: MutableBacking, message: TableMessage): boolean {
+function storeNewer(role: MutableStandbyRole, message: TableMessage): boolean {
   const table = fromTableMessage(message);
   const known = role.table;
   const isNewer = known === null || table.version > known.version;
--- a/packages/ownership/src/takeover.ts
+++ b/packages/ownership/src/takeover.ts
@@ -3,7 +3,7 @@
 import type {Condition} from './condition.js';
 import type {OwnershipContext} from './context.js';
 import type {Membership} from './membership.js';
-import type {Backing, Standby} from './standby.js';
+import type {StandbyRole, Standby} from './standby.js';
 
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 2000;
@@ -24,10 +24,10 @@
   const {clock, timing, signal} = ctx;
   let backoffMs = FIRST_BACKOFF_MS;
   while (!signal.aborted) {
-    const roles = standby.backings().filter(role => role.withdrawnAt !== null);
+    const roles = standby.roles().filter(role => role.withdrawnAt !== null);
     if (roles.length === 0) {
       backoffMs = FIRST_BACKOFF_MS;
-      await withdrawn.wait(timing.watchMs, signal);
+      await withdrawn.wait(timing.watchIntervalMs, signal);
       continue;
     }
     const plans = await Promise.all(
@@ -43,7 +43,7 @@
 async function planTakeover(
   ctx: OwnershipContext,
   membership: Membership,
-  role: Backing,
+  role: StandbyRole,
 ): Promise<ClaimPlan> {
   const {cell, epoch, leader} = role.view;
   const standby = await membership.findStandby(cell, leader);
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -7,31 +7,31 @@
   /** Silence after which a standby doubts its leader. */
   readonly suspicionMs: number;
   /** Silence after which a leader doubts its standby. */
-  readonly standbySilenceMs: number;
+  readonly standbyTimeoutMs: number;
   /**
    * How old the newest reading of the log may be for a claim to be worth
    * trying. Longer than T: a slow log is no reason to leave cells alone.
    */
-  readonly logPatienceMs: number;
+  readonly maxLogAgeMs: number;
   /** Between two questions for consent. */
-  readonly consentMs: number;
+  readonly consentIntervalMs: number;
   /** Longest wait for the answer to a control question or a probe. */
-  readonly answerMs: number;
+  readonly responseTimeoutMs: number;
   /** Between two looks of a watching task. */
-  readonly tickMs: number;
+  readonly pollIntervalMs: number;
   /** Between two questions to the leader of a cell without a role in it. */
-  readonly watchMs: number;
+  readonly watchIntervalMs: number;
   /** How much longer each lower rank waits before it claims. */
-  readonly rankMs: number;
+  readonly rankDelayMs: number;
   /** Between two planned transfers that even out leadership. */
-  readonly rebalanceMs: number;
+  readonly rebalanceIntervalMs: number;
   readonly driftPpm: number;
 }
 
 const FIXED_MARGIN_MS = 20;
 const PER_MILLION = 1_000_000;
-const REBALANCE_MS = 10_000;
-const LOG_PATIENCE = 5;
+const REBALANCE_INTERVAL_MS = 10_000;
+const MAX_LOG_AGE_FACTOR = 5;
 
 /**
  * Derives the times of this package from the published ones.
@@ -52,14 +52,14 @@
     suspicionMs,
     // Shorter than the standby's own suspicion, so that where only the way
     // between the two is cut, the leader keeps its cells.
-    standbySilenceMs: (suspicionMs * 2) / 3,
-    logPatienceMs: LOG_PATIENCE * authorityMs,
-    consentMs: suspicionMs / 3,
-    answerMs: suspicionMs / 3,
-    tickMs: suspicionMs / 10,
-    watchMs: suspicionMs,
-    rankMs: authorityMs,
-    rebalanceMs: REBALANCE_MS,
+    standbyTimeoutMs: (suspicionMs * 2) / 3,
+    maxLogAgeMs: MAX_LOG_AGE_FACTOR * authorityMs,
+    consentIntervalMs: suspicionMs / 3,
+    responseTimeoutMs: suspicionMs / 3,
+    pollIntervalMs: suspicionMs / 10,
+    watchIntervalMs: suspicionMs,
+    rankDelayMs: authorityMs,
+    rebalanceIntervalMs: REBALANCE_INTERVAL_MS,
     driftPpm,
   };
 }
@@ -72,7 +72,7 @@
  * withMargin({driftPpm: 10_000}, 1000); // 1030
  * ```
  */
-export function withMargin(
+export function withClockMargin(
   timing: {readonly driftPpm: number},
   ms: number,
 ): number {
--- a/packages/ownership/src/unreached.ts
+++ b/packages/ownership/src/unreached.ts
@@ -44,7 +44,7 @@
     const testimony = await askWitnesses(options, standby);
     if (testimony === 'unknown') return;
     if (testimony === 'reached') return doubt(tenures, 'cannot reach us');
-    const ready = tenures.filter(({holder}) => !holder.hasOpenClaim());
+    const ready = tenures.filter(({holder}) => !holder.hasPendingClaim());
     ctx.log.warn('nobody reaches this router', {cells: ready.length});
     await resignCells(ctx, leadership, ready);
   };
@@ -63,16 +63,16 @@
   standby: Incarnation,
 ): Promise<Testimony> {
   const others = membership
-    .others()
+    .otherCandidates()
     .filter(({host}) => host !== standby.host)
     .map(router => ({router, order: ctx.random()}))
     .sort((a, b) => a.order - b.order)
     .slice(0, WITNESSES);
   const said = await Promise.all(
     others.map(async ({router}): Promise<Testimony> => {
-      const found = await membership.find(router);
+      const found = await membership.findIncarnation(router);
       if (found === null) return 'unknown';
-      const {answerMs} = ctx.timing;
+      const {responseTimeoutMs: answerMs} = ctx.timing;
       const res = await ctx.peers.ask(found, 'reach', {}, 2 * answerMs);
       if (!res.ok) return 'unknown';
       return res.val.reached ? 'reached' : 'unreached';
--- a/packages/ownership/src/views.ts
+++ b/packages/ownership/src/views.ts
@@ -3,7 +3,7 @@
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 
 /** Whether the view is still the newest known of its cell. */
-export function isCurrent(state: ClusterState, view: View): boolean {
+export function isCurrentView(state: ClusterState, view: View): boolean {
   return state.views.get(view.cell)?.epoch === view.epoch;
 }
 
@@ -18,7 +18,7 @@
 }
 
 /** The views in which the given run of a process is the standby. */
-export function viewsBackedBy(
+export function viewsWithStandby(
   state: ClusterState,
   standby: Incarnation,
 ): readonly View[] {
--- a/packages/ownership/test/authority.test.ts
+++ b/packages/ownership/test/authority.test.ts
@@ -7,7 +7,7 @@
 import type {View} from '@banyandrum/config/state.js';
 import type {AuthorityHolder} from '@banyandrum/ownership/authority-holder.js';
 import {createAuthorityHolder} from '@banyandrum/ownership/authority-holder.js';
-import {runConsent} from '@banyandrum/ownership/consent.js';
+import {runConsentLoop} from '@banyandrum/ownership/consent.js';
 import type {OwnershipContext} from '@banyandrum/ownership/context.js';
 import type {ShardTable} from '@banyandrum/ownership/table.js';
 import {createStandby} from '@banyandrum/ownership/standby.js';
@@ -38,7 +38,7 @@
   const holder = createAuthorityHolder(ctx, VIEW);
   const asks: number[] = [];
   const ended = new AbortController();
-  void runConsent(
+  void runConsentLoop(
     {
       ctx: {
         ...ctx,
@@ -98,7 +98,7 @@
       else answer = standby.storeTable(from, message(version, epoch));
     }
     t.equal(answer, stored);
-    t.equal(standby.backing('holds/0', 5)?.table?.version ?? 0, kept);
+    t.equal(standby.role('holds/0', 5)?.table?.version ?? 0, kept);
     t.end();
   });
 }
