--- a/packages/ownership/src/authority-holder.ts
+++ b/packages/ownership/src/authority-holder.ts
@@ -6,45 +6,47 @@
 import type {ShardTable} from './table.js';
 import {isAttestedLost, isCurrentView} from './views.js';
 
-/** A leader's right to act for a cell, with the means to keep and end it. */
+/** A leader's authority for a cell, with operations to renew and revoke it. */
 export interface AuthorityHolder extends Authority {
-  /** The view that the right rests on. */
+  /** The view that the authority is based on. */
   view(): View;
   /**
-   * Goes on under the next view, in which this process leads as well. Its
-   * standby does not have the table yet; see `synchronise`.
+   * Continues under the next view, in which this process leads as well. The
+   * standby of that view does not have the table yet; see
+   * `sendTableToStandby`.
    */
   advanceTo(view: View): void;
-  /** Counts a consent for an epoch from when it was asked for. */
+  /** Records consent for an epoch; it counts from `askedAt`, the request. */
   recordConsent(epoch: Offset, askedAt: number): void;
-  /** When the newest consent that counts was asked for. */
+  /** When the newest valid consent was requested. */
   lastConsentAt(): number;
   /**
-   * Stops counting the standby's consent, before a claim of a view with
-   * another standby is appended. The append may take effect without our
-   * knowledge, and the new standby clears its way without asking the old
-   * one; were the old one's consent still counted, two could act at once.
+   * Ignores the standby's consent from now on. Called before appending a
+   * claim for a view with another standby: the append may take effect without
+   * this process learning of it, and the new standby confirms that earlier
+   * leaders have stopped without asking the old standby. If the old standby's
+   * consent still counted, two leaders could act at once.
    */
   suspendConsent(): void;
-  /** Counts consent again: the claim is proved not to have been appended. */
+  /** Honours consent again after a claim that was certainly not appended. */
   restoreConsent(epoch: Offset): void;
-  /** Whether such a claim may take effect, or already has. */
+  /** Whether such a claim may still take effect or already has. */
   hasPendingClaim(): boolean;
   /**
-   * Sends the standby the whole table unless it has one of this epoch;
-   * whether it has one in the end. Without it a successor has to ask all
-   * servers and to wait for those that do not answer.
+   * Sends the standby the complete table unless it already has one of this
+   * epoch. Returns whether the standby has one. Without it, a successor has
+   * to query all servers and wait for those that do not answer.
    */
   sendTableToStandby(): Promise<boolean>;
-  /** Whether a complete table was recorded since the right began. */
+  /** Whether a complete table was recorded under this authority. */
   hasRecordedTable(): boolean;
-  /** Ends the right for good. */
+  /** Ends the authority permanently. */
   revoke(): void;
 }
 
 /**
- * The right of this process to act for a cell, from the view given on for as
- * long as it leads without a break.
+ * Creates this process's authority for a cell. It starts with the given view
+ * and lasts as long as the process leads without interruption.
  *
  * @example
  * ```ts
@@ -54,48 +56,49 @@
  */
 export function createAuthorityHolder(
   ctx: OwnershipContext,
-  first: View,
+  initialView: View,
 ): AuthorityHolder {
   const {clock, store, self, peers, timing} = ctx;
-  let view = first;
-  let ended = false;
-  let consentedAt = -Infinity;
-  let openClaims = 0;
-  let recorded: ShardTable | null = null;
-  let synchronisedEpoch = 0;
+  let view = initialView;
+  let isRevoked = false;
+  let lastConsentAt = -Infinity;
+  let pendingClaims = 0;
+  let recordedTable: ShardTable | null = null;
+  let standbyTableEpoch = 0;
 
   const isRecent = (at: number): boolean =>
     clock.now() - at < timing.authorityMs;
 
-  const hasConsent = (): boolean => openClaims === 0 && isRecent(consentedAt);
+  const hasConsent = (): boolean =>
+    pendingClaims === 0 && isRecent(lastConsentAt);
 
   const mayAct = (): boolean => {
-    if (ended) return false;
+    if (isRevoked) return false;
     const state = store.current();
     if (!isCurrentView(state, view) || isAttestedLost(state, self))
       return false;
     return isRecent(store.confirmedAt()) || hasConsent();
   };
 
-  const putAtStandby = async (table: ShardTable): Promise<boolean> => {
+  const storeAtStandby = async (table: ShardTable): Promise<boolean> => {
     const {standby} = view;
     if (standby === null) return true;
     const message = {table: toTableMessage(table)};
-    const {responseTimeoutMs: answerMs} = timing;
-    const res = await peers.ask(standby, 'table', message, answerMs);
+    const {responseTimeoutMs} = timing;
+    const res = await peers.ask(standby, 'table', message, responseTimeoutMs);
     const isStored = res.ok && res.val.stored;
-    if (isStored) synchronisedEpoch = table.epoch;
+    if (isStored) standbyTableEpoch = table.epoch;
     return isStored;
   };
 
   const synchronise = async (): Promise<boolean> => {
-    if (recorded === null) return false;
-    if (synchronisedEpoch === view.epoch) return true;
-    return putAtStandby({...recorded, epoch: view.epoch});
+    if (recordedTable === null) return false;
+    if (standbyTableEpoch === view.epoch) return true;
+    return storeAtStandby({...recordedTable, epoch: view.epoch});
   };
 
   return {
-    cell: first.cell,
+    cell: initialView.cell,
     get epoch() {
       return view.epoch;
     },
@@ -103,31 +106,31 @@
     mayAct,
     async record(table) {
       const {epoch} = view;
-      // A table of an earlier epoch would lie at the standby of that epoch.
+      // A table of an earlier epoch is kept by the standby of that epoch.
       if (table.epoch !== epoch || !mayAct()) return false;
-      recorded = table;
-      const stored = await putAtStandby(table);
+      recordedTable = table;
+      const stored = await storeAtStandby(table);
       return stored && view.epoch === epoch && mayAct();
     },
     advanceTo(next) {
       view = next;
-      consentedAt = -Infinity;
-      openClaims = 0;
+      lastConsentAt = -Infinity;
+      pendingClaims = 0;
     },
     recordConsent(epoch, askedAt) {
       if (epoch !== view.epoch) return;
-      consentedAt = Math.max(consentedAt, askedAt);
+      lastConsentAt = Math.max(lastConsentAt, askedAt);
     },
-    lastConsentAt: () => consentedAt,
-    suspendConsent: () => void openClaims++,
+    lastConsentAt: () => lastConsentAt,
+    suspendConsent: () => void pendingClaims++,
     restoreConsent(epoch) {
-      if (epoch === view.epoch) openClaims--;
+      if (epoch === view.epoch) pendingClaims--;
     },
-    hasPendingClaim: () => openClaims > 0,
+    hasPendingClaim: () => pendingClaims > 0,
     sendTableToStandby: synchronise,
-    hasRecordedTable: () => recorded !== null,
+    hasRecordedTable: () => recordedTable !== null,
     revoke() {
-      ended = true;
+      isRevoked = true;
     },
   };
 }
--- a/packages/ownership/src/authority.ts
+++ b/packages/ownership/src/authority.ts
@@ -1,26 +1,27 @@
 import type {CellId, Offset} from '@banyandrum/base/ids.js';
 import type {ShardTable} from './table.js';
 
-/** A leader's right to act for one cell in one epoch. */
+/** A leader's authority to act for one cell in one epoch. */
 export interface Authority {
   readonly cell: CellId;
   readonly epoch: Offset;
-  /** Whether the right holds at this very moment, by the monotonic clock. */
+  /** Whether the authority is valid now, by the monotonic clock. */
   mayAct(): boolean;
   /**
-   * Puts a change of the table where a successor will find it, before the
-   * change is carried out. `false`: not recorded, so don't carry it out.
+   * Stores a changed table where a successor finds it. Must complete before
+   * the change is carried out; on `false` the table was not recorded and the
+   * change must not be carried out.
    */
   record(table: ShardTable): Promise<boolean>;
 }
 
-/** What a new leader starts from. */
+/** The state that a new leader takes over from its predecessor. */
 export interface InheritedState {
-  /** The standby's complete table, or null where the servers must be asked. */
+  /** The standby's complete table, or null if the servers must be queried. */
   readonly table: ShardTable | null;
   /**
-   * Resolves when the previous leader cannot act any more. Before that, only
-   * servers that check fences may be adopted, and no shard may move.
+   * Resolves when the previous leader can no longer act. Until then only
+   * servers that check fences may be adopted and no shard may move.
    */
   readonly cleared: Promise<void>;
 }
--- a/packages/ownership/src/claims.ts
+++ b/packages/ownership/src/claims.ts
@@ -6,43 +6,44 @@
 import type {ShardTable} from './table.js';
 
 /**
- * A claim and what the new epoch starts from.
+ * A claim and the state that the new epoch starts from.
  *
  * Before a claim is appended, consent in the epoch that it replaces must have
- * ended where this process is its standby (by withdrawal) or its leader (by
- * forgoing it): the fold drops that pair from the ones to be cleared. Any
- * other router's claim leaves the pair on the list.
+ * ended if this process is that epoch's standby (by withdrawing it) or its
+ * leader (by suspending it): applying such a claim removes that pair of leader
+ * and standby from `unsettled`, the former pairs that a new leader waits for.
+ * A claim by any other router leaves the pair on that list.
  */
 export interface ClaimPlan {
   readonly claim: Claim;
   /** The complete table of the previous epoch, or null. */
   readonly table: ShardTable | null;
-  /** Whether the previous leader and all before it are known to be stopped. */
+  /** Whether all earlier leaders are known to have stopped. */
   readonly clearedBefore: boolean;
 }
 
-/** - `unknown`: it may take effect, now or later. */
+/** `unknown`: the claim may have taken effect or may do so later. */
 export type ClaimOutcome = 'appended' | 'not-appended' | 'unknown';
 
-/** Appends claims and remembers what they were based on. */
+/** Appends claims to the log and keeps the plans behind them. */
 export interface Claimer {
   claim(plans: readonly ClaimPlan[]): Promise<ClaimOutcome>;
-  /** The newest plan of this process for a cell, if it led to the view. */
+  /** This process's newest plan for the cell if it can have led to the view. */
   planOf(view: View): ClaimPlan | null;
 }
 
 /**
- * How long to wait for one append, in ms. A second claim for the same epoch is
- * void, so trying again does no harm, while a request that was lost on its
- * way would cost the cell all the time that the store waits for it.
+ * Timeout of one append, in ms. Retrying is safe because a second claim for
+ * the same epoch is void. Without the timeout, a request lost in transit would
+ * leave the cell unserved for as long as the store waits for the reply.
  */
 const APPEND_TIMEOUT_MS = 2000;
 
-/** Keeps a record well below any log's limit for one record. */
+/** Keeps each record well below the record size limit of any log. */
 const MAX_CLAIMS_PER_RECORD = 64;
 
 /**
- * Makes the one way by which this process claims cells.
+ * Creates the claimer through which all claims of this process go.
  *
  * @example
  * ```ts
@@ -50,8 +51,8 @@
  * ```
  */
 export function createClaimer(ctx: OwnershipContext): Claimer {
-  // Only the newest plan of a cell can have led to a view of ours: a plan
-  // for a later epoch is made after this process saw the earlier one go by.
+  // Only the newest plan of a cell can have led to a view of this process: a
+  // plan for a later epoch is made after the earlier epoch was superseded.
   const plans = new Map<CellId, ClaimPlan>();
 
   const appendBatch = async (
@@ -59,7 +60,7 @@
   ): Promise<ClaimOutcome> => {
     for (const plan of batch) plans.set(plan.claim.cell, plan);
     const claims = batch.map(({claim}) => claim);
-    // Not cancelled when patience ends: a slow log may still take it.
+    // The append isn't cancelled on timeout: a slow log may still accept it.
     const res = await Promise.race([
       ctx.store.append({kind: 'views', claims}, ctx.signal),
       sleep(ctx.clock, APPEND_TIMEOUT_MS, ctx.signal),
@@ -67,20 +68,24 @@
     if (res === undefined) return 'unknown';
     if (res.ok) return 'appended';
     const {kind, detail} = res.val;
-    ctx.log.warn('claim failed', {cells: batch.length, kind, detail});
+    ctx.log.warn('could not append claims to the log', {
+      cells: batch.length,
+      kind,
+      detail,
+    });
     return kind === 'unknown' ? 'unknown' : 'not-appended';
   };
 
   return {
     async claim(wanted) {
-      let worst: ClaimOutcome = 'appended';
+      let worstOutcome: ClaimOutcome = 'appended';
       for (let i = 0; i < wanted.length; i += MAX_CLAIMS_PER_RECORD) {
         const outcome = await appendBatch(
           wanted.slice(i, i + MAX_CLAIMS_PER_RECORD),
         );
-        worst = worseOutcome(worst, outcome);
+        worstOutcome = worseOutcome(worstOutcome, outcome);
       }
-      return worst;
+      return worstOutcome;
     },
     planOf(view) {
       const plan = plans.get(view.cell);
--- a/packages/ownership/src/clearance.ts
+++ b/packages/ownership/src/clearance.ts
@@ -6,13 +6,15 @@
 import {isAttestedLost} from './views.js';
 
 /**
- * Resolves when all earlier leaders of a cell have stopped, for whoever was
- * just seen to lead it; or when the signal aborts.
+ * Resolves when all earlier leaders of a cell have stopped, or when the signal
+ * aborts. The caller must just have read the view in which it leads.
  *
- * The reading that showed the view ends every earlier leader's trust in the
- * log T later, by its own clock. Consent ends at the pairs one by one; the
- * pair right before is no longer listed where its standby or its leader made
- * the claim, because both end their consent before they claim.
+ * Earlier leaders may act on their last reading of the log or on consent.
+ * Reading the view bounds the first: no earlier leader relies on the log for
+ * longer than `authorityMs` after that, by its own clock. Consent is checked
+ * for each former pair of leader and standby. The immediately preceding pair
+ * is not listed if its standby or its leader made the claim, because both end
+ * their consent before they claim.
  *
  * @example
  * ```ts
@@ -24,20 +26,21 @@
   view: View,
   signal: AbortSignal,
 ): Promise<void> {
-  const trustMs = withClockMargin(ctx.timing, ctx.timing.authorityMs);
+  const logTrustMs = withClockMargin(ctx.timing, ctx.timing.authorityMs);
   const pairs = view.unsettled.map(pair =>
     waitForFormerPair(ctx, view, pair, signal),
   );
-  await Promise.all([sleep(ctx.clock, trustMs, signal), ...pairs]);
+  await Promise.all([sleep(ctx.clock, logTrustMs, signal), ...pairs]);
 }
 
 /**
- * What is known of a former pair.
+ * State of a former pair of leader and standby.
  *
- * - `over`: its leader cannot act.
- * - `no-consent`: its leader gets no consent that was asked for from now on.
+ * - `active`: the leader may still act with consent.
+ * - `no-consent`: the leader gets no consent for requests made from now on.
+ * - `leader-gone`: the leader's process has terminated.
  */
-type PairState = 'living' | 'no-consent' | 'over';
+type PairState = 'active' | 'no-consent' | 'leader-gone';
 
 async function waitForFormerPair(
   ctx: OwnershipContext,
@@ -48,7 +51,7 @@
   let warned = false;
   while (!signal.aborted) {
     const state = await checkPair(ctx, view, pair);
-    if (state === 'over') return;
+    if (state === 'leader-gone') return;
     if (state === 'no-consent') {
       const {authorityMs} = ctx.timing;
       return sleep(ctx.clock, withClockMargin(ctx.timing, authorityMs), signal);
@@ -69,47 +72,48 @@
     checkIncarnation(ctx, view, pair, leader),
     standby === null ? 'gone' : checkIncarnation(ctx, view, pair, standby),
   ]);
-  if (leaderState === 'gone') return 'over';
-  const isCut = leaderState === 'stopped' || standbyState !== 'living';
-  return isCut ? 'no-consent' : 'living';
+  if (leaderState === 'gone') return 'leader-gone';
+  const isConsentOver = leaderState === 'stopped' || standbyState !== 'active';
+  return isConsentOver ? 'no-consent' : 'active';
 }
 
 /**
- * - `gone`: another run of the process answers at its address, or an operator
- *   attested it lost.
- * - `stopped`: it answers that it knows a later view or has withdrawn, so it
- *   neither acts nor consents in that epoch any more.
+ * - `gone`: another incarnation answers at its address, or an operator attested
+ *   it lost.
+ * - `stopped`: it answers that it knows a later view or has withdrawn consent,
+ *   so it neither acts nor consents in that epoch any more.
  */
-type IncarnationState = 'living' | 'stopped' | 'gone';
+type IncarnationState = 'active' | 'stopped' | 'gone';
 
 async function checkIncarnation(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
-  run: Incarnation,
+  incarnation: Incarnation,
 ): Promise<IncarnationState> {
-  if (isKnownTerminated(ctx, run)) return 'gone';
-  if (run.boot === ctx.self.boot) return 'stopped';
-  const ask = {cell: view.cell, epoch: pair.epoch};
+  if (isKnownTerminated(ctx, incarnation)) return 'gone';
+  if (incarnation.boot === ctx.self.boot) return 'stopped';
+  const request = {cell: view.cell, epoch: pair.epoch};
   const res = await ctx.peers.ask(
-    run,
+    incarnation,
     'withdraw',
-    ask,
+    request,
     ctx.timing.responseTimeoutMs,
   );
-  if (!res.ok) return res.val.kind === 'other-incarnation' ? 'gone' : 'living';
-  return res.val.withdrawnForMs === null ? 'living' : 'stopped';
+  if (!res.ok) return res.val.kind === 'other-incarnation' ? 'gone' : 'active';
+  return res.val.withdrawnForMs === null ? 'active' : 'stopped';
 }
 
-/** What this process knows of a run without asking anybody. */
+/** Whether an incarnation is known to have ended, without asking any router. */
 export function isKnownTerminated(
   ctx: OwnershipContext,
-  run: Incarnation,
+  incarnation: Incarnation,
 ): boolean {
   const {self} = ctx;
-  // This process holds that address itself, so the other run is over.
-  if (run.address === self.address && run.boot !== self.boot) return true;
-  return isAttestedLost(ctx.store.current(), run);
+  // This process uses the address itself, so the other incarnation has ended.
+  if (incarnation.address === self.address && incarnation.boot !== self.boot)
+    return true;
+  return isAttestedLost(ctx.store.current(), incarnation);
 }
 
 function warnAboutPair(
@@ -117,10 +121,13 @@
   view: View,
   {epoch, leader, standby}: FormerPair,
 ): void {
-  ctx.log.warn('waiting for a former leader; if its host is lost, attest it', {
-    cell: view.cell,
-    formerEpoch: epoch,
-    leader: leader.host,
-    standby: standby?.host,
-  });
+  ctx.log.warn(
+    'waiting for a former leader to stop; attest its host if it is lost',
+    {
+      cell: view.cell,
+      formerEpoch: epoch,
+      leader: leader.host,
+      standby: standby?.host,
+    },
+  );
 }
--- a/packages/ownership/src/consent.ts
+++ b/packages/ownership/src/consent.ts
@@ -6,20 +6,20 @@
 import type {Membership} from './membership.js';
 import type {NoteUnreached} from './unreached.js';
 
-/** What a leader's questions for consent work with. */
+/** Dependencies of the consent loops of a leader. */
 export interface ConsentOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly leadership: Leadership;
-  /** Told of cells whose standby cannot be relied on any more. */
+  /** Reports cells whose standby is no longer reliable. */
   readonly doubt: (tenures: readonly Tenure[], reason: string) => void;
   readonly noteUnreached: NoteUnreached;
 }
 
 /**
- * Asks one standby for consent, for all cells that it shares with this
- * process, in one message; until the signal aborts. The question is also the
- * heartbeat between the two, in both directions.
+ * Requests consent from one standby at a regular interval until the signal
+ * aborts, for all cells that it shares with this process in one message. The
+ * request also serves as the heartbeat between the two, in both directions.
  */
 export async function runConsentLoop(
   options: ConsentOptions,
@@ -28,11 +28,15 @@
 ): Promise<void> {
   const {clock, timing} = options.ctx;
   while (!signal.aborted) {
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     await requestConsent(options, standby);
     await checkSilentStandby(options, standby);
-    const spent = clock.now() - askedAt;
-    await sleep(clock, Math.max(0, timing.consentIntervalMs - spent), signal);
+    const elapsedMs = clock.now() - requestedAt;
+    await sleep(
+      clock,
+      Math.max(0, timing.consentIntervalMs - elapsedMs),
+      signal,
+    );
   }
 }
 
@@ -41,26 +45,31 @@
   standby: Incarnation,
 ): Promise<void> {
   const {ctx, membership, doubt} = options;
-  const asked = tenuresWith(options, standby).map(tenure => ({
+  const requested = tenuresWith(options, standby).map(tenure => ({
     tenure,
     cell: tenure.holder.cell,
     epoch: tenure.holder.epoch,
   }));
-  if (asked.length === 0) return;
-  const cells = asked.map(({cell, epoch}) => ({cell, epoch}));
-  const askedAt = ctx.clock.now();
-  const {responseTimeoutMs: answerMs} = ctx.timing;
-  const res = await ctx.peers.ask(standby, 'consent', {cells}, answerMs);
+  if (requested.length === 0) return;
+  const cells = requested.map(({cell, epoch}) => ({cell, epoch}));
+  const requestedAt = ctx.clock.now();
+  const {responseTimeoutMs} = ctx.timing;
+  const res = await ctx.peers.ask(
+    standby,
+    'consent',
+    {cells},
+    responseTimeoutMs,
+  );
   if (!res.ok) {
-    const isGone = res.val.kind === 'other-incarnation';
-    if (isGone) doubt(tenuresWith(options, standby), 'restarted');
+    const isReplaced = res.val.kind === 'other-incarnation';
+    if (isReplaced) doubt(tenuresWith(options, standby), 'restarted');
     return;
   }
   const granted = new Set(res.val.granted);
-  for (const {tenure, cell, epoch} of asked) {
+  for (const {tenure, cell, epoch} of requested) {
     if (!granted.has(cell)) continue;
-    tenure.holder.recordConsent(epoch, askedAt);
-    // Its consent shows that it knows the epoch, so it takes the table now.
+    tenure.holder.recordConsent(epoch, requestedAt);
+    // Consent shows that the standby knows the epoch, so it accepts the table.
     void tenure.holder.sendTableToStandby();
   }
   if (res.val.leaving) membership.markLeaving(standby);
@@ -69,8 +78,8 @@
 }
 
 /**
- * Doubts a standby that gave no consent for a while. A new connection is
- * tried first: a silent one may have been lost track of on the way.
+ * Reports a standby that has not consented for a while. Probes it on a new
+ * connection first, because only the existing connection may be broken.
  */
 async function checkSilentStandby(
   options: ConsentOptions,
@@ -78,26 +87,26 @@
 ): Promise<void> {
   const {ctx, doubt} = options;
   const {timing} = ctx;
-  const silent = (ms: number): readonly Tenure[] =>
+  const tenuresSilentFor = (ms: number): readonly Tenure[] =>
     tenuresWith(options, standby).filter(
       tenure => standbySilenceMs(ctx, tenure) > ms,
     );
-  if (silent(timing.standbyTimeoutMs).length === 0) return;
+  if (tenuresSilentFor(timing.standbyTimeoutMs).length === 0) return;
   const res = await ctx.peers.probe(standby.address, timing.responseTimeoutMs);
-  const isThere = res.ok && sameIncarnation(res.val, standby);
-  // It answers, but does not consent: it may not have read the view yet.
-  const patience = isThere ? 2 * timing.authorityMs : timing.standbyTimeoutMs;
-  doubt(silent(patience), isThere ? 'refuses consent' : 'silent');
+  const isAlive = res.ok && sameIncarnation(res.val, standby);
+  // A standby that answers without consenting may not have read the view yet.
+  const timeoutMs = isAlive ? 2 * timing.authorityMs : timing.standbyTimeoutMs;
+  doubt(tenuresSilentFor(timeoutMs), isAlive ? 'refuses consent' : 'silent');
 }
 
-/** Our own pause must not count as silence of the standby. */
+/** Time without consent; a pause of this process does not count, in ms. */
 function standbySilenceMs(ctx: OwnershipContext, tenure: Tenure): number {
-  const heardAt = Math.max(
+  const lastHeardAt = Math.max(
     tenure.holder.lastConsentAt(),
     tenure.viewKnownSince(),
     ctx.pauses.awakeSince(),
   );
-  return ctx.clock.now() - heardAt;
+  return ctx.clock.now() - lastHeardAt;
 }
 
 function tenuresWith(
--- a/packages/ownership/src/control.ts
+++ b/packages/ownership/src/control.ts
@@ -3,8 +3,8 @@
 import type {ShardTable} from './table.js';
 
 /*
- * Control messages between routers. Everything in them is plain JSON; the
- * sender's incarnation travels with the stream.
+ * Control messages between routers, all plain JSON. The stream carries the
+ * sender's incarnation.
  */
 
 const offsetSchema = z.number().int().min(0);
@@ -45,7 +45,7 @@
   publication: offsetSchema,
 });
 
-/** Checks of the control messages of ownership, for the peer server. */
+/** Schemas by which the peer server validates ownership's control messages. */
 export const ownershipSchemas = {
   consent: {
     ask: z.object({cells: z.array(cellEpochSchema)}),
@@ -90,17 +90,19 @@
 };
 
 /**
- * - `consent`: the leader asks its standby whether it may go on, for all
+ * - `consent`: a leader asks its standby for consent to keep acting, for all
  *   cells that the two share; also the heartbeat between them. `leaving`
- *   tells that the standby stops soon.
- * - `table`: a cell's whole table, put at the standby.
- * - `withdraw`: a third router asks a standby to consent no more;
- *   `withdrawnForMs` is null where it refuses.
+ *   reports that the standby stops soon, `unreached` that its new connections
+ *   to the leader fail.
+ * - `table`: a leader stores a cell's complete table at the standby.
+ * - `withdraw`: a third router asks a standby to stop consenting;
+ *   `withdrawnForMs` is null if the standby refuses.
  * - `resign`: a leader has stopped acting and hands its cells over;
- *   `cleared` tells whether its own predecessor was known to have stopped.
- * - `reach`: a router asks whether a new connection to it gets through.
- * - `leads`: what the router leads, and the versions it has in force.
- * - `state`: the newer state of the log, for a router that cannot read it.
+ *   `cleared` tells whether all its predecessors were known to have stopped.
+ * - `reach`: a router asks whether a new connection to it succeeds.
+ * - `leads`: the cells that the router leads, and its versions of the log
+ *   and of the publication.
+ * - `state`: newer state of the log, for a router that cannot read the log.
  */
 export type OwnershipControl = {
   readonly [K in keyof typeof ownershipSchemas]: Message<K>;
@@ -115,10 +117,10 @@
 export type LeadsResponse = OwnershipControl['leads']['answer'];
 export type TableMessage = OwnershipControl['table']['ask']['table'];
 
-/** The part of the way to other routers that ownership uses. */
+/** The peer client operations that ownership uses. */
 export type OwnershipPeers = Pick<Peers<OwnershipControl>, 'ask' | 'probe'>;
 
-/** A table as it travels. */
+/** Encodes a table for a message. */
 export function toTableMessage(table: ShardTable): TableMessage {
   return {
     cell: table.cell,
@@ -129,7 +131,7 @@
   };
 }
 
-/** The table that a message carries. */
+/** Decodes the table of a message. */
 export function fromTableMessage(message: TableMessage): ShardTable {
   return {
     cell: message.cell,
--- a/packages/ownership/src/departure.ts
+++ b/packages/ownership/src/departure.ts
@@ -5,7 +5,7 @@
 import {resignCells} from './resignation.js';
 import {viewsWithStandby, viewsLedBy} from './views.js';
 
-/** What leaving its roles takes a router. */
+/** Dependencies of a router's planned leave. */
 export interface LeaveOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
@@ -13,9 +13,9 @@
 }
 
 /**
- * Hands all cells over while this router is drained or leaving, until
- * everything ends. Cells whose standby is not there yet get one first, from
- * whoever keeps standbys.
+ * Hands all cells over while this router is drained or leaving, until the
+ * process's signal aborts. The standby manager first finds a standby for cells
+ * that have none.
  */
 export async function runLeaveLoop(options: LeaveOptions): Promise<void> {
   const {ctx, membership} = options;
@@ -28,15 +28,16 @@
 }
 
 /**
- * Resolves once this router has no role left, or after `limitMs`, or at once
- * where there is no other router to take them. Its standby roles go because the leaders hear that it leaves.
+ * Resolves once this router has no role left, after `timeoutMs`, or at once if
+ * no other router can take its roles. Its standby roles are reassigned because
+ * the leaders learn from its consent responses that it is leaving.
  */
 export async function waitUntilNoRoles(
   {ctx, membership}: LeaveOptions,
-  limitMs: number,
+  timeoutMs: number,
 ): Promise<void> {
   const {clock, timing, store, self} = ctx;
-  const deadline = clock.now() + limitMs;
+  const deadline = clock.now() + timeoutMs;
   while (clock.now() < deadline && membership.otherCandidates().length > 0) {
     const state = store.current();
     const roles = [
@@ -56,10 +57,10 @@
   const ready = leadership.activeTenures().filter(({holder}) => {
     const {standby} = holder.view();
     if (standby === null || holder.hasPendingClaim()) return false;
-    const isHeard =
+    const isStandbyResponsive =
       ctx.clock.now() - holder.lastConsentAt() < ctx.timing.authorityMs;
     return (
-      isHeard &&
+      isStandbyResponsive &&
       membership.mayKeepRoles(standby.host) &&
       !membership.isLeaving(standby)
     );
--- a/packages/ownership/src/election.ts
+++ b/packages/ownership/src/election.ts
@@ -2,10 +2,10 @@
 import type {CellId} from '@banyandrum/base/ids.js';
 import type {Inventory} from '@banyandrum/config/inventory.js';
 
-/** A router host as a candidate for a role. */
+/** A router's host as a candidate for a role. */
 export interface RouterHost {
   readonly host: string;
-  /** `ip:port` for other routers. */
+  /** `ip:port` at which other routers reach it. */
   readonly address: string;
   readonly dataCentre: string;
 }
@@ -25,8 +25,8 @@
 }
 
 /**
- * Candidates for a cell by rendezvous hashing, the best one first; alike in
- * every router that knows the same candidates.
+ * Ranks candidates for a cell by rendezvous hashing, best first. Every router
+ * that knows the same candidates computes the same order.
  *
  * @example
  * ```ts
@@ -37,20 +37,20 @@
   cell: CellId,
   routers: readonly RouterHost[],
 ): readonly RouterHost[] {
-  const weighed = routers.map(router => ({
+  const weighted = routers.map(router => ({
     router,
     weight: rendezvousWeight(cell, router.host),
   }));
-  weighed.sort(
+  weighted.sort(
     (a, b) => b.weight - a.weight || compareHosts(a.router, b.router),
   );
-  return weighed.map(({router}) => router);
+  return weighted.map(({router}) => router);
 }
 
 /**
- * Whether a candidate ranks among the first `count` for a cell. Most of those
- * that don't are found out after some `2 * count` of all candidates, whereas
- * ranking thousands of them for thousands of cells takes many seconds.
+ * Whether a candidate ranks among the first `count` for a cell. Most lower
+ * ranks are detected after about `2 * count` candidates, whereas ranking
+ * thousands of candidates for thousands of cells takes many seconds.
  *
  * @example
  * ```ts
@@ -66,19 +66,19 @@
   const candidate = routers.find(router => router.host === host);
   if (candidate === undefined) return false;
   const weight = rendezvousWeight(cell, host);
-  let before = 0;
+  let betterCount = 0;
   for (const router of routers) {
     const other = rendezvousWeight(cell, router.host);
-    const isBefore = other - weight || compareHosts(candidate, router);
-    if (isBefore > 0 && router !== candidate) before++;
-    if (before >= count) return false;
+    const order = other - weight || compareHosts(candidate, router);
+    if (order > 0 && router !== candidate) betterCount++;
+    if (betterCount >= count) return false;
   }
   return true;
 }
 
 /**
- * Candidates for a cell's standby, the best one first: those in another data
- * centre than the leader's go before those in its own.
+ * Ranks candidates for a cell's standby, best first. Candidates in another
+ * data centre than the leader's come before those in the same one.
  *
  * @example
  * ```ts
@@ -92,18 +92,18 @@
 ): readonly RouterHost[] {
   const others = routers.filter(router => router.host !== leader.host);
   const ranked = rankRouters(cell, others);
-  const isAway = (router: RouterHost): boolean =>
+  const isRemote = (router: RouterHost): boolean =>
     router.dataCentre !== leader.dataCentre;
-  return [...ranked.filter(isAway), ...ranked.filter(r => !isAway(r))];
+  return [...ranked.filter(isRemote), ...ranked.filter(r => !isRemote(r))];
 }
 
-/** Candidates in the order of their hashes. */
+/** A hash ring: candidates in the order of their hashes. */
 export type Ring = readonly {
   readonly router: RouterHost;
   readonly hash: number;
 }[];
 
-/** Puts candidates on a ring, for `pickFromRing`. */
+/** Creates a hash ring of candidates, for `pickFromRing`. */
 export function createRing(routers: readonly RouterHost[]): Ring {
   return routers
     .map(router => ({router, hash: hash32(router.host)}))
@@ -111,9 +111,9 @@
 }
 
 /**
- * The first `count` candidates on the ring behind a cell's hash that fit. It
- * spreads cells less evenly than ranking does, but its cost for a cell does
- * not grow with the number of routers.
+ * Returns the first `count` eligible candidates on the ring at or after a
+ * cell's hash. Cells are spread less evenly than by ranking, but the cost for
+ * a cell does not grow with the number of routers.
  *
  * @example
  * ```ts
@@ -124,13 +124,13 @@
   cell: CellId,
   ring: Ring,
   count: number,
-  isFit: (router: RouterHost) => boolean,
+  isEligible: (router: RouterHost) => boolean,
 ): readonly RouterHost[] {
   const start = firstIndexAtOrAfter(ring, hash32(cell));
   const picked: RouterHost[] = [];
   for (let i = 0; i < ring.length && picked.length < count; i++) {
     const router = ring[(start + i) % ring.length]?.router;
-    if (router && isFit(router)) picked.push(router);
+    if (router && isEligible(router)) picked.push(router);
   }
   return picked;
 }
--- a/packages/ownership/src/first-claims.ts
+++ b/packages/ownership/src/first-claims.ts
@@ -8,9 +8,9 @@
 import type {Membership} from './membership.js';
 
 /**
- * Claims cells that have no view yet, until the signal aborts: the router
- * that ranks first at once, each lower one `rankMs` later, so that a router
- * which is listed but not there delays a cell and does not lose it.
+ * Claims cells that have no view yet, until the signal aborts. The router that
+ * ranks first for a cell claims it at once, each lower rank `rankDelayMs`
+ * later, so that a listed router that is down only delays the cell.
  */
 export async function runInitialClaims(
   ctx: OwnershipContext,
@@ -32,14 +32,14 @@
   }
 }
 
-/** Tells which cells without a view it is this router's turn to claim. */
+/** Finds the unclaimed cells that this router's rank allows it to claim now. */
 function createDueCellFinder(
   ctx: OwnershipContext,
   membership: Membership,
 ): () => readonly CellId[] {
   const {clock, store, timing} = ctx;
-  // Found out once for each state of things: with thousands of cells and
-  // routers, each tick would else take longer than the time between two.
+  // Memoized per inventory and views: with thousands of cells and routers,
+  // computing this on each check would take longer than the check interval.
   const unclaimedOf = createMemo(listUnclaimed);
   let firstSeen: ReadonlyMap<CellId, number> = new Map();
 
@@ -49,13 +49,15 @@
     if (!isFresh || !membership.isReady()) return [];
     const {inventory, views} = store.current();
     const cells = unclaimedOf(inventory, views);
-    const seen = cells.map(cell => [cell, firstSeen.get(cell) ?? now] as const);
-    firstSeen = new Map(seen);
+    const entries = cells.map(
+      cell => [cell, firstSeen.get(cell) ?? now] as const,
+    );
+    firstSeen = new Map(entries);
     const routers = membership.candidates();
     return cells.filter(cell => {
-      const waited = now - (firstSeen.get(cell) ?? now);
-      const turns = Math.floor(waited / timing.rankDelayMs) + 1;
-      return isRankedWithin(cell, ctx.self.host, routers, turns);
+      const waitedMs = now - (firstSeen.get(cell) ?? now);
+      const rankLimit = Math.floor(waitedMs / timing.rankDelayMs) + 1;
+      return isRankedWithin(cell, ctx.self.host, routers, rankLimit);
     });
   };
 }
--- a/packages/ownership/src/handlers.ts
+++ b/packages/ownership/src/handlers.ts
@@ -8,7 +8,7 @@
 import type {Standby} from './standby.js';
 import {probeLeader, leaderSilenceMs} from './standby-watch.js';
 
-/** Handlers of the control messages that other routers send. */
+/** Creates the handlers of control messages from other routers. */
 export function createHandlers(
   ctx: OwnershipContext,
   leadership: Leadership,
@@ -50,10 +50,10 @@
 }
 
 /**
- * Answers a router that wants consent in an epoch to end. It asks a run that
- * is or was the leader or the standby of that epoch, and only when it has
- * the log at hand to claim, which is why this process withdraws here even
- * where it cannot read the log itself.
+ * Handles a request to end consent in an epoch. The requester sends it only to
+ * the leader and the standby of that epoch, and only when it has read the log
+ * and can claim at once. Therefore this process withdraws even if it cannot
+ * read the log itself.
  */
 async function handleWithdraw(
   ctx: OwnershipContext,
@@ -61,21 +61,21 @@
   cell: CellId,
   epoch: Offset,
 ): Promise<WithdrawResponse> {
-  // Whoever knows a later view neither acts nor consents in an earlier one.
+  // A process that knows a later view neither acts nor consents in this epoch.
   const known = ctx.store.current().views.get(cell)?.epoch ?? 0;
   if (known > epoch) return {withdrawnForMs: 0, refused: null};
   const role = standby.role(cell, epoch);
   if (role === null) return refuse('not the standby of this epoch');
   if (role.withdrawnAt === null) {
     if (leaderSilenceMs(ctx, role) <= ctx.timing.suspicionMs) {
-      return refuse('its leader asks for consent');
+      return refuse('its leader still requests consent');
     }
     const proof = await probeLeader(ctx, role.view.leader);
     if (proof === 'there' || proof === 'paused') {
-      return refuse('its leader is not proved lost');
+      return refuse('its leader is not known to be lost');
     }
     if (leaderSilenceMs(ctx, role) <= ctx.timing.suspicionMs) {
-      return refuse('its leader asks for consent');
+      return refuse('its leader still requests consent');
     }
     standby.withdraw(cell, epoch);
   }
--- a/packages/ownership/src/leadership.ts
+++ b/packages/ownership/src/leadership.ts
@@ -11,24 +11,24 @@
 import type {ShardTable} from './table.js';
 import {isCurrentView, viewsLedBy} from './views.js';
 
-/** What a cell's leader is started with, once for each tenure. */
+/** Arguments to start a cell's leader, once for each tenure. */
 export interface StartCellOptions {
   readonly cell: CellId;
-  /** Its epoch grows when the standby is replaced under the same leader. */
+  /** Its epoch increases when the standby is replaced under the same leader. */
   readonly authority: Authority;
   readonly inheritance: InheritedState;
-  /** Aborted when the tenure is over. */
+  /** Aborts when the tenure ends. */
   readonly signal: AbortSignal;
 }
 
-/** The leader's work for one cell. */
+/** The running leader of one cell. */
 export interface RunningCell {
   readonly led: LedCell;
   /**
-   * Stops all orders and dispatch; resolves with the final table, or null
-   * where it isn't known yet. It must not wait for requests in flight: until
-   * it resolves nobody leads the cell and nobody renews its leases, while the
-   * successor's orders let those requests go on.
+   * Stops all lease calls and dispatch; resolves with the final table, or null
+   * if it isn't known yet. Must not wait for requests in flight: until it
+   * resolves, no process leads the cell or renews its leases, whereas the
+   * successor's lease calls allow those requests to continue.
    */
   stop(): Promise<ShardTable | null>;
 }
@@ -37,35 +37,35 @@
   options: StartCellOptions,
 ) => RunningCell | Promise<RunningCell>;
 
-/** A cell as this process leads it, through one view or several in a row. */
+/** This process's leadership of a cell through one or more successive views. */
 export interface Tenure {
   readonly holder: AuthorityHolder;
-  /** When the newest of its views became known here. */
+  /** When this process learned of the newest of its views. */
   viewKnownSince(): number;
-  /** When it ended; `Infinity` before. */
+  /** When it ended; `Infinity` until then. */
   endedAt(): number;
   /** Whether all earlier leaders are known to have stopped. */
   isCleared(): boolean;
 }
 
-/** All cells that this process leads. */
+/** The cells that this process leads. */
 export interface Leadership {
-  /** Brings what runs in line with the newest views. */
+  /** Starts, continues and ends tenures according to the newest views. */
   reconcile(): void;
   /** Tenures that have not ended and whose view is current. */
   activeTenures(): readonly Tenure[];
   /**
-   * Tenures that ended here though their view is still current: cells that
-   * were to be handed over and that nobody has taken so far.
+   * Tenures that ended although their view is still current: their cells were
+   * to be handed over and no router has claimed them yet.
    */
   endedCurrentTenures(): readonly Tenure[];
   ledCell(cell: CellId): LedCell | null;
   /**
-   * Ends the right to act at once and for good, then stops the work; yields
-   * the final table, or null where there is none.
+   * Revokes the authority at once and permanently, then stops the leader;
+   * resolves with the final table, or null if there is none.
    */
   endTenure(tenure: Tenure): Promise<ShardTable | null>;
-  /** Ends everything. */
+  /** Ends all tenures. */
   stop(): Promise<void>;
 }
 
@@ -79,8 +79,8 @@
 }
 
 /**
- * Starts a cell's leader when a view names this process, lets it go on while
- * later views do so too, and ends it when another process leads.
+ * Starts a cell's leader when a view names this process, continues it while
+ * later views do too, and ends it when another process leads.
  *
  * @example
  * ```ts
@@ -93,149 +93,154 @@
   claimer: Claimer,
   startCell: StartCell,
 ): Leadership {
-  const terms = new Map<CellId, TenureState>();
-
-  /** Ends a term; the right goes first, before anything is awaited. */
-  const endTerm = (term: TenureState): Promise<ShardTable | null> => {
-    term.holder.revoke();
-    term.abort.abort();
-    if (term.finalTable !== null) return term.finalTable;
-    term.endedAtMs = ctx.clock.now();
-    term.finalTable = stopLeader(term);
-    return term.finalTable;
+  const tenures = new Map<CellId, TenureState>();
+
+  /** Ends a tenure. Its authority is revoked before anything is awaited. */
+  const endTenure = (tenure: TenureState): Promise<ShardTable | null> => {
+    tenure.holder.revoke();
+    tenure.abort.abort();
+    if (tenure.finalTable !== null) return tenure.finalTable;
+    tenure.endedAtMs = ctx.clock.now();
+    tenure.finalTable = stopLeader(tenure);
+    return tenure.finalTable;
   };
 
-  /** The table of the term that ended with the claim, or that of the plan. */
-  const inheritedTable = async (
-    before: TenureState | undefined,
+  /** The table of the tenure that the claim replaced, or that of the plan. */
+  const getInheritedTable = async (
+    previous: TenureState | undefined,
     plan: ClaimPlan | null,
   ): Promise<ShardTable | null> => {
-    if (before === undefined) return plan?.table ?? null;
-    const table = await endTerm(before);
-    const follows = plan?.claim.previous === before.holder.epoch;
+    if (previous === undefined) return plan?.table ?? null;
+    const table = await endTenure(previous);
+    const follows = plan?.claim.previous === previous.holder.epoch;
     return follows ? table : (plan?.table ?? null);
   };
 
-  const start = async (
-    term: TenureState,
+  const startLeader = async (
+    tenure: TenureState,
     cleared: Promise<void>,
-    inherited: Promise<ShardTable | null>,
+    inheritedTable: Promise<ShardTable | null>,
   ): Promise<RunningCell | null> => {
-    const table = await inherited;
-    const {signal} = term.abort;
+    const table = await inheritedTable;
+    const {signal} = tenure.abort;
     if (signal.aborted) return null;
-    const {holder: authority} = term;
+    const {holder: authority} = tenure;
     const {cell} = authority;
     const inheritance = {table, cleared};
     const running = await startCell({cell, authority, inheritance, signal});
-    term.led = running.led;
+    tenure.led = running.led;
     return running;
   };
 
-  const begin = (view: View): void => {
+  const startTenure = (view: View): void => {
     const {cell, epoch} = view;
     ctx.log.info('leading', {cell, epoch, standby: view.standby?.host});
     const plan = claimer.planOf(view);
-    const inherited = inheritedTable(terms.get(cell), plan);
+    const inheritedTable = getInheritedTable(tenures.get(cell), plan);
     const abort = new AbortController();
     let isCleared = plan?.clearedBefore ?? false;
     const cleared = isCleared
       ? Promise.resolve()
       : whenCleared(ctx, view, abort.signal);
     void cleared.then(() => (isCleared = true));
-    const term: TenureState = {
+    const tenure: TenureState = {
       holder: createAuthorityHolder(ctx, view),
       isCleared: () => isCleared,
-      viewKnownSince: () => term.viewKnownAt,
+      viewKnownSince: () => tenure.viewKnownAt,
       abort,
       led: null,
       viewKnownAt: ctx.clock.now(),
-      endedAt: () => term.endedAtMs,
+      endedAt: () => tenure.endedAtMs,
       endedAtMs: Infinity,
       finalTable: null,
       running: Promise.resolve().then(() =>
-        start(term, cleared, inherited).catch((err: unknown) => {
-          ctx.log.error('cell did not start', {cell, epoch, err: String(err)});
+        startLeader(tenure, cleared, inheritedTable).catch((err: unknown) => {
+          ctx.log.error('could not start the leader of a cell', {
+            cell,
+            epoch,
+            err: String(err),
+          });
           return null;
         }),
       ),
     };
-    terms.set(cell, term);
+    tenures.set(cell, tenure);
   };
 
-  const goOn = (term: TenureState, view: View): void => {
-    ctx.log.info('leading on', {
+  const continueTenure = (tenure: TenureState, view: View): void => {
+    ctx.log.info('leading continues under a new view', {
       cell: view.cell,
       epoch: view.epoch,
       standby: view.standby?.host,
     });
-    term.viewKnownAt = ctx.clock.now();
-    term.holder.advanceTo(view);
+    tenure.viewKnownAt = ctx.clock.now();
+    tenure.holder.advanceTo(view);
   };
 
-  // Only a claim that named this term's epoch continues the term; anything
-  // else means that another leader was there in between.
-  const continues = (term: TenureState, view: View): boolean =>
-    term.finalTable === null &&
-    claimer.planOf(view)?.claim.previous === term.holder.epoch;
+  // Only a claim that names this tenure's epoch continues the tenure. After
+  // any other claim, another leader may have acted in between.
+  const isContinuedBy = (tenure: TenureState, view: View): boolean =>
+    tenure.finalTable === null &&
+    claimer.planOf(view)?.claim.previous === tenure.holder.epoch;
 
   const reconcile = (): void => {
     const state = ctx.store.current();
-    for (const [cell, term] of [...terms]) {
+    for (const [cell, tenure] of [...tenures]) {
       const leader = state.views.get(cell)?.leader ?? null;
       if (sameIncarnation(leader, ctx.self)) continue;
-      terms.delete(cell);
-      void endTerm(term);
+      tenures.delete(cell);
+      void endTenure(tenure);
     }
     if (ctx.signal.aborted) return;
     for (const view of viewsLedBy(state, ctx.self)) {
-      const term = terms.get(view.cell);
-      if (term?.holder.epoch === view.epoch) continue;
-      if (term && continues(term, view)) goOn(term, view);
-      else begin(view);
+      const tenure = tenures.get(view.cell);
+      if (tenure?.holder.epoch === view.epoch) continue;
+      if (tenure && isContinuedBy(tenure, view)) continueTenure(tenure, view);
+      else startTenure(view);
     }
   };
 
-  const isInForce = ({holder}: TenureState): boolean =>
+  const isViewCurrent = ({holder}: TenureState): boolean =>
     isCurrentView(ctx.store.current(), holder.view());
 
-  const isOngoing = (term: TenureState): boolean =>
-    term.finalTable === null && isInForce(term);
+  const isActive = (tenure: TenureState): boolean =>
+    tenure.finalTable === null && isViewCurrent(tenure);
 
   return {
     reconcile,
-    activeTenures: () => [...terms.values()].filter(isOngoing),
+    activeTenures: () => [...tenures.values()].filter(isActive),
     endedCurrentTenures: () =>
-      [...terms.values()].filter(
-        term => term.finalTable !== null && isInForce(term),
+      [...tenures.values()].filter(
+        tenure => tenure.finalTable !== null && isViewCurrent(tenure),
       ),
     ledCell(cell) {
-      const term = terms.get(cell);
-      return term && isOngoing(term) ? term.led : null;
+      const tenure = tenures.get(cell);
+      return tenure && isActive(tenure) ? tenure.led : null;
     },
     endTenure(tenure) {
-      const term = terms.get(tenure.holder.cell);
-      return term === tenure ? endTerm(term) : Promise.resolve(null);
+      const known = tenures.get(tenure.holder.cell);
+      return known === tenure ? endTenure(known) : Promise.resolve(null);
     },
     async stop() {
-      await Promise.all([...terms.values()].map(endTerm));
+      await Promise.all([...tenures.values()].map(endTenure));
     },
   };
 }
 
 /**
- * The final table, or null where it is not known to be complete: a leader
- * that has recorded nothing so far may still be asking the servers, and a
- * successor would take shards for free that are not.
+ * Stops a leader and returns its final table, or null if the table is not known
+ * to be complete: a leader that has not recorded a table yet may still be
+ * querying the servers, and a successor would treat shards that servers own
+ * as unassigned.
  */
-async function stopLeader(term: TenureState): Promise<ShardTable | null> {
-  const running = await term.running;
+async function stopLeader(tenure: TenureState): Promise<ShardTable | null> {
+  const running = await tenure.running;
   if (running === null) return null;
   const table = await running.stop();
-  return term.holder.hasRecordedTable() ? table : null;
+  return tenure.holder.hasRecordedTable() ? table : null;
 }
 
-/** Never resolves where the term ends before. */
+/** Resolves when earlier leaders have stopped, but never if the tenure ends. */
 async function whenCleared(
   ctx: OwnershipContext,
   view: View,
--- a/packages/ownership/src/membership.ts
+++ b/packages/ownership/src/membership.ts
@@ -6,39 +6,39 @@
 import {createMemo} from './memo.js';
 import {isAttestedLost} from './views.js';
 
-/** The newest host list that was read; null before the first. */
+/** The newest host list that was read; null until the first was read. */
 export interface HostListReader {
   current(): readonly Host[] | null;
 }
 
-/** Which routers may take roles, and which run of each is there now. */
+/** The routers that may take roles, and the running incarnation of each. */
 export interface Membership {
-  /** Whether the host list was read, or is not to be waited for longer. */
+  /** Whether the host list was read or the wait for it has timed out. */
   isReady(): boolean;
   /**
-   * Routers that may take new roles, this one among them if it may; the same
-   * array for as long as nothing changes.
+   * Routers that may take new roles, including this one if eligible. Returns
+   * the same array as long as nothing changes.
    */
   candidates(): readonly RouterHost[];
-  /** The same without this one. */
+  /** The candidates except this router. */
   otherCandidates(): readonly RouterHost[];
-  /** The candidates on a ring, made once for each list of them. */
+  /** The hash ring of the candidates, memoized per list of candidates. */
   ring(): Ring;
-  /** The run of the process at a router, or null where none answers. */
+  /** The incarnation at a router, or null if none answers. */
   findIncarnation(router: RouterHost): Promise<Incarnation | null>;
-  /** Those of the others that answer. */
+  /** The incarnations of the other candidates that answer. */
   findOtherIncarnations(): Promise<readonly Incarnation[]>;
-  /** Whether the router may keep its roles: neither drained nor leaving. */
+  /** Whether the router may keep its roles: not drained and not leaving. */
   mayKeepRoles(host: string): boolean;
   /**
-   * The best standby for a cell that answers, or null where none does.
-   * The host of `unfit` is left out.
+   * The highest-ranked standby for a cell that answers, or null if none does.
+   * The host of `excluded` is skipped.
    */
   findStandby(
     cell: CellId,
-    unfit: Incarnation | null,
+    excluded: Incarnation | null,
   ): Promise<Incarnation | null>;
-  /** Takes note that a run is about to stop, so that it gets no new role. */
+  /** Marks an incarnation that stops soon, so that it gets no standby role. */
   markLeaving(incarnation: Incarnation): void;
   isLeaving(incarnation: Incarnation): boolean;
 }
@@ -48,16 +48,16 @@
   readonly result: Promise<Incarnation | null>;
 }
 
-/** How long an answer to "who is there" is believed, in ms. */
+/** How long the result of a probe is cached, in ms. */
 const PROBE_CACHE_MS = 1000;
 
-/** How long cells wait for the first host list before they are claimed. */
+/** How long to wait for the first host list before claiming cells, in ms. */
 const HOST_LIST_TIMEOUT_MS = 10_000;
 
 /**
- * Joins the lagging host list with what this process sees itself. Routers
- * are probed only when a role is to be given out, and each one once a second
- * at most, so the number of probes does not grow with the number of routers.
+ * Combines the host list, which lags behind, with this process's own probes.
+ * Routers are probed only when a role is to be assigned, and each at most once
+ * a second, so the number of probes does not grow with the number of routers.
  *
  * @example
  * ```ts
@@ -71,21 +71,21 @@
 ): Membership {
   const {self, clock, store} = ctx;
   const startedAt = clock.now();
-  const sightings = new Map<string, CachedProbe>();
-  const leaving = new Set<string>();
+  const probes = new Map<string, CachedProbe>();
+  const leavingBoots = new Set<string>();
 
   const routersByName = createMemo(indexRouters);
 
-  const isSelfUnfit = (): boolean =>
+  const isSelfIneligible = (): boolean =>
     isStopping() || isAttestedLost(store.current(), self);
 
-  const isWelcome = (host: string): boolean => {
-    if (host === self.host && isSelfUnfit()) return false;
+  const mayKeepRoles = (host: string): boolean => {
+    if (host === self.host && isSelfIneligible()) return false;
     if (store.current().drains.has(host)) return false;
     return routersByName(hosts.current()).get(host)?.state !== 'leaving';
   };
 
-  const listOthers = createMemo(
+  const listOtherCandidates = createMemo(
     (
       routers: ReadonlyMap<string, Host>,
       drains: ReadonlySet<string>,
@@ -96,16 +96,16 @@
         .map(toRouterHost),
   );
 
-  const others = (): readonly RouterHost[] =>
-    listOthers(routersByName(hosts.current()), store.current().drains);
+  const otherCandidates = (): readonly RouterHost[] =>
+    listOtherCandidates(routersByName(hosts.current()), store.current().drains);
 
   const withSelf = createMemo(
-    (known: readonly RouterHost[], isWelcomeHere: boolean) =>
-      isWelcomeHere ? [self, ...known] : known,
+    (known: readonly RouterHost[], maySelfKeepRoles: boolean) =>
+      maySelfKeepRoles ? [self, ...known] : known,
   );
 
   const candidates = (): readonly RouterHost[] =>
-    withSelf(others(), isWelcome(self.host));
+    withSelf(otherCandidates(), mayKeepRoles(self.host));
 
   const ringOf = createMemo(createRing);
 
@@ -114,12 +114,12 @@
     return res.ok ? res.val : null;
   };
 
-  const find = (router: RouterHost): Promise<Incarnation | null> => {
-    const known = sightings.get(router.host);
+  const findIncarnation = (router: RouterHost): Promise<Incarnation | null> => {
+    const known = probes.get(router.host);
     const now = clock.now();
     if (known && now - known.at < PROBE_CACHE_MS) return known.result;
     const found = probe(router.address);
-    sightings.set(router.host, {at: now, result: found});
+    probes.set(router.host, {at: now, result: found});
     return found;
   };
 
@@ -128,24 +128,26 @@
       hosts.current() !== null ||
       clock.now() - startedAt > HOST_LIST_TIMEOUT_MS,
     candidates,
-    otherCandidates: others,
+    otherCandidates,
     ring: () => ringOf(candidates()),
-    findIncarnation: find,
+    findIncarnation,
     async findOtherIncarnations() {
-      const found = await Promise.all(others().map(find));
+      const found = await Promise.all(otherCandidates().map(findIncarnation));
       return found.filter(incarnation => incarnation !== null);
     },
-    mayKeepRoles: isWelcome,
-    async findStandby(cell, unfit) {
-      const fit = others().filter(({host}) => host !== unfit?.host);
-      for (const router of rankStandbys(cell, self, fit)) {
-        const found = await find(router);
-        if (found !== null && !leaving.has(found.boot)) return found;
+    mayKeepRoles,
+    async findStandby(cell, excluded) {
+      const eligible = otherCandidates().filter(
+        ({host}) => host !== excluded?.host,
+      );
+      for (const router of rankStandbys(cell, self, eligible)) {
+        const found = await findIncarnation(router);
+        if (found !== null && !leavingBoots.has(found.boot)) return found;
       }
       return null;
     },
-    markLeaving: ({boot}) => void leaving.add(boot),
-    isLeaving: ({boot}) => leaving.has(boot),
+    markLeaving: ({boot}) => void leavingBoots.add(boot),
+    isLeaving: ({boot}) => leavingBoots.has(boot),
   };
 }
 
--- a/packages/ownership/src/peer-tasks.ts
+++ b/packages/ownership/src/peer-tasks.ts
@@ -1,15 +1,15 @@
 import type {Incarnation} from '@banyandrum/base/ids.js';
 import {incarnationKey} from './views.js';
 
-/** Runs one task for each peer that is wanted. */
+/** A set of tasks, one for each wanted peer. */
 export interface PeerTasks {
-  /** Starts tasks of new peers and ends those of peers not wanted now. */
+  /** Starts tasks of new peers and aborts those of peers no longer wanted. */
   sync(wanted: readonly Incarnation[]): void;
   stop(): void;
 }
 
 /**
- * Keeps one task for each peer, ended by its own signal.
+ * Runs one task for each peer, each with its own abort signal.
  *
  * @example
  * ```ts
@@ -20,19 +20,19 @@
 export function createPeerTasks(
   run: (peer: Incarnation, signal: AbortSignal) => Promise<void>,
 ): PeerTasks {
-  const running = new Map<string, AbortController>();
+  const aborts = new Map<string, AbortController>();
 
   const sync = (wanted: readonly Incarnation[]): void => {
     const peers = new Map(wanted.map(peer => [incarnationKey(peer), peer]));
-    for (const [key, abort] of [...running]) {
+    for (const [key, abort] of [...aborts]) {
       if (peers.has(key)) continue;
       abort.abort();
-      running.delete(key);
+      aborts.delete(key);
     }
     for (const [key, peer] of peers) {
-      if (running.has(key)) continue;
+      if (aborts.has(key)) continue;
       const abort = new AbortController();
-      running.set(key, abort);
+      aborts.set(key, abort);
       void run(peer, abort.signal);
     }
   };
--- a/packages/ownership/src/resignation.ts
+++ b/packages/ownership/src/resignation.ts
@@ -8,10 +8,10 @@
 /**
  * Hands cells over to their standbys: stops acting first, then sends each
  * standby the final tables of all its cells in one message. Cells without a
- * standby are left alone.
+ * standby are not affected.
  *
- * Once the message was sent this process never acts on the old right again,
- * whatever is answered: the standby may claim and act at once.
+ * Once the message is sent, this process never acts on the old authority
+ * again, whatever the response: the standby may claim and act at once.
  *
  * @example
  * ```ts
@@ -43,10 +43,10 @@
   const cells = await Promise.all(
     tenures.map(tenure => stopAndPackCell(leadership, tenure)),
   );
-  const {responseTimeoutMs: answerMs} = ctx.timing;
-  const res = await ctx.peers.ask(peer, 'resign', {cells}, answerMs);
+  const {responseTimeoutMs} = ctx.timing;
+  const res = await ctx.peers.ask(peer, 'resign', {cells}, responseTimeoutMs);
   const accepted = res.ok ? res.val.accepted.length : 0;
-  ctx.log.info('cells handed over', {
+  ctx.log.info('handed cells over to a standby', {
     to: peer.host,
     cells: cells.length,
     accepted,
--- a/packages/ownership/src/run-ownership.ts
+++ b/packages/ownership/src/run-ownership.ts
@@ -40,11 +40,11 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly timing: AuthorityTiming;
-  /** Starts the leader's work for a cell, once for each epoch. */
+  /** Starts the leader of a cell, once for each tenure. */
   readonly startCell: StartCell;
-  /** Encodes the state for a peer that cannot read the log. */
+  /** Encodes the state for a router that cannot read the log. */
   readonly encodeState: (state: ClusterState) => string;
-  /** 0 to below 1, for jitter. */
+  /** Random number in [0, 1), for jitter. */
   readonly random?: () => number;
 }
 
@@ -52,26 +52,26 @@
 
 /** Views, authority and takeover of one router process. */
 export interface Ownership {
-  /** The cell's leader in this process, or null where another leads. */
+  /** The cell's leader if this process leads it, else null. */
   ledCell(cell: CellId): LedCell | null;
-  /** The newest view known; null where nobody leads the cell yet. */
+  /** The newest known view of the cell, or null if it has none yet. */
   leaderOf(cell: CellId): View | null;
-  /** For the peer server. */
+  /** Handlers of control messages, for the peer server. */
   readonly handlers: ControlHandlers<OwnershipControl>;
-  /** Calls `listener` after each change of views; returns how to stop. */
+  /** Calls `listener` after each change of views; returns an unsubscriber. */
   subscribe(listener: () => void): () => void;
   /**
-   * Hands all cells over, for `limitMs` at most, then gives up every right
-   * and ends all tasks. Must be over *before* the peer server stops
-   * listening: once another run of the process can answer at this address,
-   * the others take this one for gone.
+   * Hands all cells over, for `timeoutMs` at most, then revokes all authority
+   * and ends all tasks. Must complete *before* the peer server stops
+   * listening: once another incarnation can answer at this address, other
+   * routers consider this one terminated.
    */
-  stop(limitMs?: number): Promise<void>;
+  stop(timeoutMs?: number): Promise<void>;
 }
 
 /**
- * Runs ownership in a router: claims cells, keeps and gives consent, takes
- * over, and starts `startCell` for each cell and epoch that it leads.
+ * Runs ownership in a router: claims cells, requests and gives consent, takes
+ * cells over, and calls `startCell` for each tenure of a cell.
  *
  * @example
  * ```ts
@@ -90,61 +90,61 @@
   };
   let isStopping = false;
   const listeners = new Set<() => void>();
-  const withdrawn = createCondition(clock);
-  const changed = createCondition(clock);
+  const consentWithdrawn = createCondition(clock);
+  const viewsChanged = createCondition(clock);
   const membership = createMembership(ctx, options.hosts, () => isStopping);
   const claimer = createClaimer(ctx);
   const leadership = createLeadership(ctx, claimer, options.startCell);
   const catchUp = createCatchUp({...ctx, hosts: options.hosts});
-  const reach = createReachWatch(ctx);
+  const reachWatch = createReachWatch(ctx);
   const standby = createStandby(ctx, {
     isLeaving: () => !membership.mayKeepRoles(self.host),
-    isUnreached: reach.isUnreached,
-    onWithdrawn: withdrawn.notify,
+    isUnreached: reachWatch.isUnreached,
+    onWithdrawn: consentWithdrawn.notify,
     onNewerEpoch: catchUp.pull,
   });
-  const departure = {ctx, membership, leadership};
-  const keeper = createStandbyManager(
+  const leaveOptions = {ctx, membership, leadership};
+  const standbyManager = createStandbyManager(
     ctx,
     membership,
     claimer,
     leadership,
-    changed,
+    viewsChanged,
   );
-  const {doubt} = keeper;
+  const {doubt} = standbyManager;
   const noteUnreached = createUnreached({ctx, membership, leadership, doubt});
-  const consent = {ctx, membership, leadership, doubt, noteUnreached};
-  const asking = createPeerTasks((peer, ended) =>
-    runConsentLoop(consent, peer, ended),
+  const consentOptions = {ctx, membership, leadership, doubt, noteUnreached};
+  const consentTasks = createPeerTasks((peer, taskSignal) =>
+    runConsentLoop(consentOptions, peer, taskSignal),
   );
-  const backed = createPeerTasks(async (peer, ended) => {
-    void reach.run(peer, ended);
-    await runStandbyWatch(ctx, standby, peer, ended);
+  const standbyWatchTasks = createPeerTasks(async (peer, taskSignal) => {
+    void reachWatch.run(peer, taskSignal);
+    await runStandbyWatch(ctx, standby, peer, taskSignal);
   });
-  const orphans = {ctx, membership, claimer};
-  const watchedLeaders = createWatchedLeaders(orphans);
-  const watched = createPeerTasks((peer, ended) =>
-    runOrphanWatch(orphans, peer, ended),
+  const orphanOptions = {ctx, membership, claimer};
+  const watchedLeaders = createWatchedLeaders(orphanOptions);
+  const orphanWatchTasks = createPeerTasks((peer, taskSignal) =>
+    runOrphanWatch(orphanOptions, peer, taskSignal),
   );
 
   const reconcile = (): void => {
     leadership.reconcile();
     standby.reconcile();
-    asking.sync(
+    consentTasks.sync(
       leadership
         .activeTenures()
         .flatMap(({holder}) => holder.view().standby ?? []),
     );
-    const backings = viewsWithStandby(store.current(), self);
-    backed.sync(backings.map(({leader}) => leader));
-    changed.notify();
+    const standbyViews = viewsWithStandby(store.current(), self);
+    standbyWatchTasks.sync(standbyViews.map(({leader}) => leader));
+    viewsChanged.notify();
     for (const listener of listeners) listener();
   };
 
-  // Who watches whom also depends on the host list, which changes silently.
+  // The watched leaders also depend on the host list, which does not notify.
   const watchOrphans = async (): Promise<void> => {
     while (!signal.aborted) {
-      watched.sync(watchedLeaders());
+      orphanWatchTasks.sync(watchedLeaders());
       await sleep(clock, timing.watchIntervalMs, signal);
     }
   };
@@ -152,11 +152,11 @@
   const unsubscribe = store.subscribe(reconcile);
   reconcile();
   void catchUp.runUntilRead();
-  void runInitialClaims(ctx, membership, claimer, changed);
-  void runTakeover(ctx, membership, standby, claimer, withdrawn);
+  void runInitialClaims(ctx, membership, claimer, viewsChanged);
+  void runTakeover(ctx, membership, standby, claimer, consentWithdrawn);
   void runRebalance({ctx, membership, claimer, leadership});
-  void runLeaveLoop(departure);
-  void keeper.run();
+  void runLeaveLoop(leaveOptions);
+  void standbyManager.run();
   void watchOrphans();
 
   return {
@@ -167,12 +167,13 @@
       listeners.add(listener);
       return () => void listeners.delete(listener);
     },
-    async stop(limitMs = STOP_TIMEOUT_MS) {
+    async stop(timeoutMs = STOP_TIMEOUT_MS) {
       isStopping = true;
-      await waitUntilNoRoles(departure, limitMs);
+      await waitUntilNoRoles(leaveOptions, timeoutMs);
       unsubscribe();
       abort.abort();
-      for (const tasks of [asking, backed, watched]) tasks.stop();
+      for (const tasks of [consentTasks, standbyWatchTasks, orphanWatchTasks])
+        tasks.stop();
       await leadership.stop();
     },
   };
--- a/packages/ownership/src/standby-keeper.ts
+++ b/packages/ownership/src/standby-keeper.ts
@@ -7,21 +7,21 @@
 
 const MAX_BACKOFF_MS = 2000;
 
-/** Sees to it that every cell led here has a standby. */
+/** Keeps a standby for every cell that this process leads. */
 export interface StandbyManager {
-  /** The standby of these cells cannot be relied on any more. */
+  /** Marks the standby of these cells as unreliable, so that it is replaced. */
   doubt(tenures: readonly Tenure[], reason: string): void;
-  /** Runs until everything ends. */
+  /** Runs until the process's signal aborts. */
   run(): Promise<void>;
 }
 
 /**
- * Replaces standbys that are silent, leaving or missing by a new view with
- * the same leader, all cells of one moment in one record.
+ * Replaces standbys that are silent, leaving or missing by claiming a new view
+ * with the same leader. All cells due since one time share a record.
  *
  * @example
  * ```ts
- * void createStandbyKeeper(...parts).run();
+ * void createStandbyManager(...dependencies).run();
  * ```
  */
 export function createStandbyManager(
@@ -32,17 +32,19 @@
   changed: Condition,
 ): StandbyManager {
   const {clock, store, timing, signal} = ctx;
-  const doubtedAt = new WeakMap<Tenure, number>();
+  const suspectedAt = new WeakMap<Tenure, number>();
 
-  const isDoubted = (tenure: Tenure): boolean => {
-    const at = doubtedAt.get(tenure) ?? -Infinity;
-    return at > tenure.viewKnownSince() && at > tenure.holder.lastConsentAt();
+  const isSuspected = (tenure: Tenure): boolean => {
+    const since = suspectedAt.get(tenure) ?? -Infinity;
+    return (
+      since > tenure.viewKnownSince() && since > tenure.holder.lastConsentAt()
+    );
   };
 
-  const isUnfit = (tenure: Tenure): boolean => {
+  const needsNewStandby = (tenure: Tenure): boolean => {
     const {standby} = tenure.holder.view();
     if (standby === null) return membership.candidates().length > 1;
-    if (isDoubted(tenure) || membership.isLeaving(standby)) return true;
+    if (isSuspected(tenure) || membership.isLeaving(standby)) return true;
     return (
       !membership.mayKeepRoles(standby.host) || isKnownTerminated(ctx, standby)
     );
@@ -50,21 +52,21 @@
 
   const needsClaim = (tenure: Tenure): boolean =>
     tenure.holder.hasPendingClaim() ||
-    isUnfit(tenure) ||
+    needsNewStandby(tenure) ||
     hasUnsettledPairs(tenure);
 
-  // A cell that was handed over and that nobody took. This process may not go
-  // on by its old right; with a claim of its own it starts anew.
+  // The cell was handed over but no router claimed it. This process must not
+  // continue under its old authority; its own claim starts a new tenure.
   const isAbandoned = (tenure: Tenure): boolean =>
     membership.mayKeepRoles(ctx.self.host) &&
     clock.now() - tenure.endedAt() > 2 * timing.suspicionMs;
 
   const plan = async (tenure: Tenure): Promise<ClaimPlan | null> => {
-    const {cell, epoch: previous, standby: old} = tenure.holder.view();
-    const standby = isUnfit(tenure)
-      ? await membership.findStandby(cell, old)
-      : old;
-    if (standby === null && old === null) return null;
+    const {cell, epoch: previous, standby: current} = tenure.holder.view();
+    const standby = needsNewStandby(tenure)
+      ? await membership.findStandby(cell, current)
+      : current;
+    if (standby === null && current === null) return null;
     const settled = tenure.isCleared();
     return {
       claim: {cell, previous, leader: ctx.self, standby, settled},
@@ -73,33 +75,33 @@
     };
   };
 
-  const renew = async (tenures: readonly Tenure[]): Promise<boolean> => {
+  const claimViews = async (tenures: readonly Tenure[]): Promise<boolean> => {
     const plans = await Promise.all(tenures.map(plan));
-    const wanted = tenures.flatMap((tenure, i) => {
+    const planned = tenures.flatMap((tenure, i) => {
       const claim = plans[i];
       if (!claim || claim.claim.previous !== tenure.holder.epoch) return [];
       return [{tenure, claim}];
     });
-    if (wanted.length === 0) return true;
-    for (const {tenure} of wanted) tenure.holder.suspendConsent();
-    const outcome = await claimer.claim(wanted.map(({claim}) => claim));
+    if (planned.length === 0) return true;
+    for (const {tenure} of planned) tenure.holder.suspendConsent();
+    const outcome = await claimer.claim(planned.map(({claim}) => claim));
     if (outcome !== 'not-appended') return outcome === 'appended';
-    for (const {tenure, claim} of wanted) {
+    for (const {tenure, claim} of planned) {
       tenure.holder.restoreConsent(claim.claim.previous);
     }
     return false;
   };
 
-  // Consent is forgone for the claim, so while the log is down or slow a claim
-  // would only stop a leader that lives on consent alone. Where the log is
-  // slow, one that may not act anyway has nothing to lose.
+  // A claim suspends consent. While the log is down or slow, it would stop a
+  // leader that acts on consent alone. On a slow log, a leader that may not act
+  // anyway can claim without risk.
   const mayClaim = (tenure: Tenure): boolean => {
     const age = clock.now() - store.confirmedAt();
     if (age < timing.authorityMs / 2) return true;
     return age < timing.maxLogAgeMs && !tenure.holder.mayAct();
   };
 
-  const findNeedy = (): readonly Tenure[] =>
+  const findTenuresToClaim = (): readonly Tenure[] =>
     [
       ...leadership.activeTenures().filter(needsClaim),
       ...leadership.endedCurrentTenures().filter(isAbandoned),
@@ -108,19 +110,23 @@
   return {
     doubt(tenures, reason) {
       for (const tenure of tenures) {
-        if (isDoubted(tenure)) continue;
-        doubtedAt.set(tenure, clock.now());
+        if (isSuspected(tenure)) continue;
+        suspectedAt.set(tenure, clock.now());
         const {cell, standby} = tenure.holder.view();
-        ctx.log.warn('standby doubted', {cell, host: standby?.host, reason});
+        ctx.log.warn('standby is unreliable; replacing it', {
+          cell,
+          host: standby?.host,
+          reason,
+        });
       }
       if (tenures.length > 0) changed.notify();
     },
     async run() {
       let backoffMs = timing.consentIntervalMs;
       while (!signal.aborted) {
-        const needy = findNeedy();
-        const isDone = needy.length === 0 || (await renew(needy));
-        backoffMs = isDone
+        const tenures = findTenuresToClaim();
+        const succeeded = tenures.length === 0 || (await claimViews(tenures));
+        backoffMs = succeeded
           ? timing.consentIntervalMs
           : Math.min(MAX_BACKOFF_MS, backoffMs * (1 + ctx.random()));
         await changed.wait(backoffMs, signal);
@@ -130,8 +136,9 @@
 }
 
 /**
- * Former pairs are kept in the log until a claim says that they are over. A
- * successor of this process would else wait for hosts that are long gone.
+ * Whether a claim should settle former pairs. The log keeps them until a claim
+ * marks them as stopped; otherwise a successor of this process would wait for
+ * hosts that are long lost.
  */
 function hasUnsettledPairs(tenure: Tenure): boolean {
   const {unsettled} = tenure.holder.view();
--- a/packages/ownership/src/standby-watch.ts
+++ b/packages/ownership/src/standby-watch.ts
@@ -7,15 +7,16 @@
 
 /**
  * Watches one leader as its standby, for all cells that it shares with this
- * process, and withdraws once the leader is lost; until the signal aborts.
+ * process, and withdraws consent once the leader is lost, until the signal
+ * aborts.
  *
- * The rule for withdrawing, beside silence of the leader on a new connection
- * too: this process must have read the log's end *after* it last heard of
- * the leader, and not long ago. While the log is down the leader may live on
- * this very consent, and may only be cut off for a moment: withdrawn, it
- * would have to stop until the log is back, though nobody could take over.
- * With the log at hand a claim can follow at once. A leader that is proved
- * gone needs no consent, so there the log does not matter.
+ * Withdrawal requires that the leader is also silent on a new connection, and
+ * that this process has read the end of the log *after* the leader's last
+ * request and recently. While the log is down, the leader may depend on this
+ * consent and may only be disconnected for a moment; after a withdrawal it
+ * would have to stop until the log is back, and no router could take over.
+ * When the log is readable, a claim can follow at once. A leader that is known
+ * to have terminated needs no consent, so the log does not matter then.
  */
 export async function runStandbyWatch(
   ctx: OwnershipContext,
@@ -25,12 +26,13 @@
 ): Promise<void> {
   while (!signal.aborted) {
     await sleep(ctx.clock, timeUntilSuspicion(ctx, standby, leader), signal);
-    const doubtful = () => suspectedRoles(ctx, standby, leader);
-    if (doubtful().length === 0) continue;
+    const suspected = () => suspectedRoles(ctx, standby, leader);
+    if (suspected().length === 0) continue;
     const proof = await probeLeader(ctx, leader);
     if (signal.aborted || proof === 'paused') continue;
-    const lost = doubtful().filter(role => mayWithdraw(ctx, role, proof));
-    // Each look opens a connection, and the log may be down for hours.
+    const lost = suspected().filter(role => mayWithdraw(ctx, role, proof));
+    // Limits the rate of probes: each opens a connection, and the log may be
+    // down for hours.
     if (lost.length === 0)
       await sleep(ctx.clock, ctx.timing.consentIntervalMs, signal);
     for (const role of lost) {
@@ -43,14 +45,14 @@
 
 /**
  * - `there`: the leader's process answers on a new connection.
- * - `silent`: nothing answers there.
- * - `gone`: proved, by another run at its address or an operator's word.
- * - `paused`: this process stood still meanwhile, so that silence shows
- *   nothing.
+ * - `silent`: no process answers.
+ * - `gone`: another incarnation is at its address, or an operator attested it
+ *   lost.
+ * - `paused`: this process was paused meanwhile, so the silence proves nothing.
  */
 export type LeaderProbeResult = 'there' | 'silent' | 'gone' | 'paused';
 
-/** Asks on a new connection whether a leader is still there. */
+/** Probes a leader on a new connection. */
 export async function probeLeader(
   ctx: OwnershipContext,
   leader: Incarnation,
@@ -65,23 +67,23 @@
   return ctx.pauses.awakeSince() > startedAt ? 'paused' : 'silent';
 }
 
-/** When to look again: when the leader would have been silent too long. */
+/** Time until the leader would have been silent for too long, in ms. */
 function timeUntilSuspicion(
   ctx: OwnershipContext,
   standby: Standby,
   leader: Incarnation,
 ): number {
   const {suspicionMs, pollIntervalMs: tickMs} = ctx.timing;
-  const silences = standby
+  const silentMs = standby
     .roles()
     .filter(role => isConsentedTo(role, leader))
     .map(role => leaderSilenceMs(ctx, role));
-  return Math.max(tickMs, suspicionMs - Math.max(0, ...silences) + 1);
+  return Math.max(tickMs, suspicionMs - Math.max(0, ...silentMs) + 1);
 }
 
 function isConsentedTo(role: StandbyRole, leader: Incarnation): boolean {
-  const isOf = sameIncarnation(role.view.leader, leader);
-  return isOf && role.withdrawnAt === null;
+  const isLeader = sameIncarnation(role.view.leader, leader);
+  return isLeader && role.withdrawnAt === null;
 }
 
 function suspectedRoles(
@@ -110,17 +112,17 @@
     confirmedAt > role.lastRequestAt &&
     ctx.clock.now() - confirmedAt < ctx.timing.maxLogAgeMs;
   if (!isFresh) return false;
-  // It answers but doesn't ask: most likely it does not know yet that it
-  // leads. It gets more time, not all of it.
-  const patience = proof === 'there' ? 3 : 1;
-  return leaderSilenceMs(ctx, role) > patience * ctx.timing.suspicionMs;
+  // A leader that answers but sends no requests most likely does not know yet
+  // that it leads. It gets three times as long.
+  const timeoutFactor = proof === 'there' ? 3 : 1;
+  return leaderSilenceMs(ctx, role) > timeoutFactor * ctx.timing.suspicionMs;
 }
 
-/** How long a leader has not asked; our own pauses don't count, in ms. */
+/** Time since a leader's last request, without this process's pauses, in ms. */
 export function leaderSilenceMs(
   ctx: OwnershipContext,
   role: StandbyRole,
 ): number {
-  const heardAt = Math.max(role.lastRequestAt, ctx.pauses.awakeSince());
-  return ctx.clock.now() - heardAt;
+  const lastHeardAt = Math.max(role.lastRequestAt, ctx.pauses.awakeSince());
+  return ctx.clock.now() - lastHeardAt;
 }
--- a/packages/ownership/src/standby.ts
+++ b/packages/ownership/src/standby.ts
@@ -7,30 +7,30 @@
 import type {ShardTable} from './table.js';
 import {isAttestedLost, viewAt, viewsWithStandby} from './views.js';
 
-/** What this process keeps as the standby of one cell in one epoch. */
+/** State of this process as the standby of one cell in one epoch. */
 export interface StandbyRole {
   readonly view: View;
-  /** When the leader last asked for consent. */
+  /** When the leader last requested consent. */
   readonly lastRequestAt: number;
-  /** When this process withdrew; null while it still consents. */
+  /** When this process withdrew consent; null while it still consents. */
   readonly withdrawnAt: number | null;
-  /** Set once the leader said that it has stopped. */
+  /** Set once the leader has resigned. */
   readonly resigned: {readonly cleared: boolean} | null;
   readonly table: ShardTable | null;
 }
 
-/** The standby's side of all cells that this process stands by for. */
+/** This process as the standby of cells. */
 export interface Standby {
-  /** Brings the roles in line with the newest views. */
+  /** Updates the roles to the newest views. */
   reconcile(): void;
-  /** Roles of epochs that are current as far as this process knows. */
+  /** Roles in the newest epochs that this process knows. */
   roles(): readonly StandbyRole[];
   role(cell: CellId, epoch: Offset): StandbyRole | null;
   answerConsent(from: Incarnation, ask: ConsentRequest): ConsentResponse;
   storeTable(from: Incarnation, message: TableMessage): boolean;
-  /** Ends consent for good; there is no way back within the epoch. */
+  /** Withdraws consent; this cannot be undone within the epoch. */
   withdraw(cell: CellId, epoch: Offset): void;
-  /** Notes the leader's resignation, which also ends consent. */
+  /** Records the leader's resignation, which also withdraws consent. */
   acceptResignation(
     from: Incarnation,
     cell: CellId,
@@ -45,7 +45,7 @@
 export interface StandbyOptions {
   /** Whether this process stops soon. */
   readonly isLeaving: () => boolean;
-  /** Whether new connections to a leader get no answer. */
+  /** Whether new connections to a leader fail. */
   readonly isUnreached: (leader: Incarnation) => boolean;
   /** Called after each withdrawal. */
   readonly onWithdrawn: () => void;
@@ -56,9 +56,9 @@
 type MutableStandbyRole = {-readonly [K in keyof StandbyRole]: StandbyRole[K]};
 
 /**
- * Keeps consent, withdrawal and tables of the cells that this process stands
- * by for. All of it is lost with the process, which is why views name
- * incarnations: the next run is no standby and consents to nothing.
+ * Keeps the consent, withdrawals and tables of the cells for which this process
+ * is the standby. All of it is lost when the process ends, which is why views
+ * name incarnations: the next incarnation is not a standby and never consents.
  *
  * @example
  * ```ts
@@ -85,8 +85,8 @@
     }
   };
 
-  // Reconciles first, so that an answer never rests on an older view than
-  // the newest that this process has read.
+  // Reconciles first, so that a response never rests on a view older than the
+  // newest that this process has read.
   const roleFor = (
     from: Incarnation,
     cell: CellId,
@@ -100,7 +100,7 @@
     return sameIncarnation(role.view.leader, from) ? role : null;
   };
 
-  const consentTo = (
+  const giveConsent = (
     from: Incarnation,
     cell: CellId,
     epoch: Offset,
@@ -108,7 +108,7 @@
     const role = roleFor(from, cell, epoch);
     if (role === null) return false;
     role.lastRequestAt = ctx.clock.now();
-    // An operator's word that this run is lost may have cleared a successor.
+    // A successor may already act if an operator attested this one lost.
     const isLost = isAttestedLost(ctx.store.current(), ctx.self);
     return role.withdrawnAt === null && !isLost;
   };
@@ -131,16 +131,16 @@
     },
     answerConsent(from, {cells}) {
       const granted = cells
-        .filter(({cell, epoch}) => consentTo(from, cell, epoch))
+        .filter(({cell, epoch}) => giveConsent(from, cell, epoch))
         .map(({cell}) => cell);
       const unreached = options.isUnreached(from);
       return {granted, leaving: options.isLeaving(), unreached};
     },
     storeTable(from, message) {
       const role = roleFor(from, message.cell, message.epoch);
-      // Once withdrawn, the table is what this process takes over from. A
-      // later change would be acknowledged to the old leader, carried out at
-      // a server, and missing from what the new leader knows.
+      // After a withdrawal, this process takes over from the table it has. A
+      // later change would be acknowledged to the old leader and carried out
+      // at a server, but be missing from the new leader's table.
       if (role === null || role.withdrawnAt !== null) return false;
       return storeNewer(role, message);
     },
@@ -152,7 +152,7 @@
     acceptResignation(from, cell, epoch, {cleared, table}) {
       const role = roleFor(from, cell, epoch);
       if (role === null) return false;
-      // A table that came before the withdrawal is no newer than this one.
+      // No table stored before the withdrawal is newer than this one.
       if (table !== null) role.table = table;
       role.resigned = {cleared};
       withdraw(role);
@@ -172,8 +172,9 @@
 }
 
 /**
- * Keeps the newer table. A second one of the same version is acknowledged
- * only if it says the same, as when a reply was lost and it is sent again.
+ * Stores the table if it is newer. A table of the same version is acknowledged
+ * only if it has the same entries, as when the leader retries after a lost
+ * response.
  */
 function storeNewer(role: MutableStandbyRole, message: TableMessage): boolean {
   const table = fromTableMessage(message);
--- a/packages/ownership/src/takeover.ts
+++ b/packages/ownership/src/takeover.ts
@@ -5,14 +5,14 @@
 import type {Membership} from './membership.js';
 import type {StandbyRole, Standby} from './standby.js';
 
-const FIRST_BACKOFF_MS = 100;
+const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 2000;
 
 /**
- * Claims the cells whose consent this process ended as their standby, all
- * that it knows of in one record, until the signal aborts. Where the log
- * does not take the claim it tries on with growing pauses; the withdrawal
- * stands, whatever comes of the claim.
+ * Claims the cells for which this process withdrew its consent as the standby,
+ * all known ones in one record, until the signal aborts. Retries with
+ * exponential backoff if the log does not accept the claim; the withdrawal
+ * stands in any case.
  */
 export async function runTakeover(
   ctx: OwnershipContext,
@@ -22,11 +22,11 @@
   withdrawn: Condition,
 ): Promise<void> {
   const {clock, timing, signal} = ctx;
-  let backoffMs = FIRST_BACKOFF_MS;
+  let backoffMs = MIN_BACKOFF_MS;
   while (!signal.aborted) {
     const roles = standby.roles().filter(role => role.withdrawnAt !== null);
     if (roles.length === 0) {
-      backoffMs = FIRST_BACKOFF_MS;
+      backoffMs = MIN_BACKOFF_MS;
       await withdrawn.wait(timing.watchIntervalMs, signal);
       continue;
     }
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -1,29 +1,30 @@
 import type {Timing} from '@banyandrum/config/rules.js';
 
-/** Times of views and authority, in ms, derived from the published ones. */
+/** Timing of views and authority, derived from the published rules. */
 export interface AuthorityTiming {
-  /** How long one confirmation lets a leader act. */
+  /** How long a leader may act after one confirmation. */
   readonly authorityMs: number;
-  /** Silence after which a standby doubts its leader. */
+  /** Silence after which a standby suspects its leader. */
   readonly suspicionMs: number;
-  /** Silence after which a leader doubts its standby. */
+  /** Silence after which a leader suspects its standby. */
   readonly standbyTimeoutMs: number;
   /**
-   * How old the newest reading of the log may be for a claim to be worth
-   * trying. Longer than T: a slow log is no reason to leave cells alone.
+   * Maximum age of the newest reading of the log at which a claim is still
+   * tried. Longer than `authorityMs`: a slow log is no reason to leave cells
+   * without a leader.
    */
   readonly maxLogAgeMs: number;
-  /** Between two questions for consent. */
+  /** Interval between requests for consent. */
   readonly consentIntervalMs: number;
-  /** Longest wait for the answer to a control question or a probe. */
+  /** Timeout of a control request or a probe. */
   readonly responseTimeoutMs: number;
-  /** Between two looks of a watching task. */
+  /** Poll interval of watching tasks. */
   readonly pollIntervalMs: number;
-  /** Between two questions to the leader of a cell without a role in it. */
+  /** Interval of checks on leaders by routers without a role in the cell. */
   readonly watchIntervalMs: number;
-  /** How much longer each lower rank waits before it claims. */
+  /** Additional delay before a claim for each lower rank. */
   readonly rankDelayMs: number;
-  /** Between two planned transfers that even out leadership. */
+  /** Interval between planned transfers that balance leadership. */
   readonly rebalanceIntervalMs: number;
   readonly driftPpm: number;
 }
@@ -34,11 +35,11 @@
 const MAX_LOG_AGE_FACTOR = 5;
 
 /**
- * Derives the times of this package from the published ones.
+ * Derives this package's timing from the published rules.
  *
- * They must not change while the process runs, and `authorityMs` must be
- * alike in all routers: a successor waits its own `authorityMs` for the old
- * leader to stop, which the old leader counts by its own.
+ * It must not change while the process runs, and `authorityMs` must be equal
+ * in all routers: a successor waits for its own `authorityMs` until the old
+ * leader has stopped, which in turn measures by its own value.
  *
  * @example
  * ```ts
@@ -50,8 +51,8 @@
   return {
     authorityMs,
     suspicionMs,
-    // Shorter than the standby's own suspicion, so that where only the way
-    // between the two is cut, the leader keeps its cells.
+    // Shorter than the standby's timeout, so that the leader keeps its cells
+    // if only the connection between the two fails.
     standbyTimeoutMs: (suspicionMs * 2) / 3,
     maxLogAgeMs: MAX_LOG_AGE_FACTOR * authorityMs,
     consentIntervalMs: suspicionMs / 3,
@@ -65,7 +66,8 @@
 }
 
 /**
- * The shortest wait on this clock after which `ms` have passed on any other.
+ * Returns the shortest wait on this clock after which `ms` have passed on every
+ * other clock.
  *
  * @example
  * ```ts
--- a/packages/ownership/src/views.ts
+++ b/packages/ownership/src/views.ts
@@ -7,7 +7,7 @@
   return state.views.get(view.cell)?.epoch === view.epoch;
 }
 
-/** The views in which the given run of a process leads. */
+/** The views in which the given incarnation leads. */
 export function viewsLedBy(
   state: ClusterState,
   leader: Incarnation,
@@ -17,7 +17,7 @@
   );
 }
 
-/** The views in which the given run of a process is the standby. */
+/** The views in which the given incarnation is the standby. */
 export function viewsWithStandby(
   state: ClusterState,
   standby: Incarnation,
@@ -27,7 +27,7 @@
   );
 }
 
-/** Whether an operator attested this very run of a process lost. */
+/** Whether an operator attested this incarnation lost. */
 export function isAttestedLost(
   state: ClusterState,
   incarnation: Incarnation,
@@ -37,12 +37,12 @@
   );
 }
 
-/** Names one run of a process in maps. */
+/** Map key of an incarnation. */
 export function incarnationKey(incarnation: Incarnation): string {
   return `${incarnation.host}#${incarnation.boot}`;
 }
 
-/** Groups views by a run of a process. */
+/** Groups views by the incarnation that `pick` returns. */
 export function groupByIncarnation(
   views: readonly View[],
   pick: (view: View) => Incarnation | null,
@@ -65,7 +65,7 @@
   readonly views: readonly View[];
 }
 
-/** The view of a cell at an epoch, or null where it is not the newest. */
+/** The view of a cell at an epoch, or null if it is not the newest view. */
 export function viewAt(
   state: ClusterState,
   cell: CellId,
--- a/packages/ownership/test/authority.test.ts
+++ b/packages/ownership/test/authority.test.ts
@@ -28,16 +28,16 @@
   standby: STANDBY,
   unsettled: [],
 };
-const ANSWER_MS = 200;
+const RESPONSE_DELAY_MS = 200;
 
-// The standby's answer takes 200 ms. The leader may act for T after it *asked*:
-// the standby may have withdrawn right after it answered, and whoever takes
-// over counts T from the withdrawal.
-void tap.test('consent counts from when it was asked for', async t => {
+// The standby's response takes 200 ms. The leader may act for `authorityMs`
+// after its request, not after the response: the standby may have withdrawn
+// right after it responded, and its successor waits from the withdrawal on.
+void tap.test('consent counts from the time of the request', async t => {
   const ctx = createContext(LEADER);
   const holder = createAuthorityHolder(ctx, VIEW);
-  const asks: number[] = [];
-  const ended = new AbortController();
+  const requestedAt: number[] = [];
+  const abort = new AbortController();
   void runConsentLoop(
     {
       ctx: {
@@ -45,33 +45,33 @@
         peers: {
           ...ctx.peers,
           ask: async () => {
-            asks.push(ctx.clock.now());
-            await sleep(ctx.clock, ANSWER_MS);
+            requestedAt.push(ctx.clock.now());
+            await sleep(ctx.clock, RESPONSE_DELAY_MS);
             const granted = ['holds/0'];
             return Ok({granted, leaving: false} as never);
           },
         },
       },
-      membership: {noteLeaving: () => {}} as never,
-      leadership: {tenures: () => [tenureOf(holder)]} as never,
+      membership: {markLeaving: () => {}} as never,
+      leadership: {activeTenures: () => [tenureOf(holder)]} as never,
       doubt: () => {},
       noteUnreached: () => {},
     },
     STANDBY,
-    ended.signal,
+    abort.signal,
   );
   await ctx.clock.advance(1100);
   t.ok(holder.mayAct());
-  ended.abort();
-  const end = (asks.at(-1) ?? 0) + ctx.timing.authorityMs;
+  abort.abort();
+  const end = (requestedAt.at(-1) ?? 0) + ctx.timing.authorityMs;
   await ctx.clock.advance(end - ctx.clock.now() - 1);
-  t.ok(holder.mayAct(), 'up to T after the question');
+  t.ok(holder.mayAct(), 'until authorityMs after the request');
   await ctx.clock.advance(1);
-  t.notOk(holder.mayAct(), 'and not a moment longer');
+  t.notOk(holder.mayAct(), 'but no longer');
 });
 
-// Tables arrive late, twice, and after the withdrawal. What the standby takes
-// over from must be the newest that it has acknowledged.
+// Tables may arrive late, twice, or after the withdrawal. The standby must take
+// over from the newest table that it has acknowledged.
 const tables = [
   {name: 'the first table', sent: [1], stored: true, kept: 1},
   {name: 'a newer one', sent: [1, 2], stored: true, kept: 2},
@@ -79,7 +79,13 @@
   {name: 'the same one again', sent: [2, 2], stored: true, kept: 2},
   {name: 'another one of that version', sent: [2, -2], stored: false, kept: 2},
   {name: 'one of another epoch', sent: [1], epoch: 4, stored: false, kept: 0},
-  {name: 'one from another run', sent: [1], boot: '9', stored: false, kept: 0},
+  {
+    name: 'one from another incarnation',
+    sent: [1],
+    boot: '9',
+    stored: false,
+    kept: 0,
+  },
   {name: 'one after the withdrawal', sent: [1, 0, 2], stored: false, kept: 1},
 ];
 
@@ -92,19 +98,20 @@
       onNewerEpoch: () => {},
     });
     const from = {...LEADER, boot};
-    let answer = false;
+    let isStored = false;
     for (const version of sent) {
       if (version === 0) standby.withdraw('holds/0', 5);
-      else answer = standby.storeTable(from, message(version, epoch));
+      else
+        isStored = standby.storeTable(from, createTableMessage(version, epoch));
     }
-    t.equal(answer, stored);
+    t.equal(isStored, stored);
     t.equal(standby.role('holds/0', 5)?.table?.version ?? 0, kept);
     t.end();
   });
 }
 
-/** Below 0: the same version with other contents. */
-function message(
+/** Makes a table createTableMessage; a negative version has other entries. */
+function createTableMessage(
   version: number,
   epoch: number,
 ): ReturnType<typeof toTableMessage> {
@@ -118,7 +125,7 @@
 }
 
 function tenureOf(holder: AuthorityHolder): object {
-  return {holder, viewSince: () => 0, isCleared: () => true};
+  return {holder, viewKnownSince: () => 0, isCleared: () => true};
 }
 
 function createContext(self: Incarnation) {
--- a/packages/ownership/test/planned.test.ts
+++ b/packages/ownership/test/planned.test.ts
@@ -6,26 +6,26 @@
 const HOSTS = ['a', 'b', 'c', 'd'];
 const CELLS = Array.from({length: 12}, (_, i) => `holds/${i}`);
 
-// A host that led several cells is lost. Were each cell claimed by a record
-// of its own, a lost data centre would cost hundreds of appends.
+// A host that led several cells is lost. With one record per cell, the loss of
+// a data centre would cost hundreds of appends.
 void tap.test('claims of several cells share a record', async t => {
   const world = createWorld({hosts: HOSTS, cells: CELLS.length});
   await world.until(() => isLed(world, CELLS), 5000);
   await world.clock.advance(2000);
-  const {lost, cells} = busiest(world);
+  const {lost, cells} = busiestRouter(world);
   const records = world.log.length;
   world.router(lost).process.kill();
   await world.until(() => isLed(world, cells), 5000);
   t.ok(cells.length >= 3, `${cells.length} cells lost their leader`);
-  // A record of each of the three others for the cells that it takes over,
-  // and one for those whose standby is lost.
+  // Each of the three other routers appends one record for the cells that it
+  // takes over and one for those that lost their standby.
   t.ok(world.log.length - records <= 6, `${world.log.length - records} claims`);
   t.strictSame(world.violations, []);
 });
 
-// Every router is stopped as planned and started anew, one after the other.
-// Callers wait for a moment while a cell is handed over, and no longer.
-void tap.test('a rolling restart leaves no cell alone', async t => {
+// Every router is stopped as planned and restarted, one after the other.
+// Requests wait only briefly while a cell is handed over.
+void tap.test('a rolling restart leaves no cell without a leader', async t => {
   const world = createWorld({hosts: HOSTS, cells: CELLS.length});
   await world.until(() => isLed(world, CELLS), 5000);
   await world.clock.advance(2000);
@@ -38,26 +38,33 @@
       .then(() => (isStopped = true));
     for (let ms = 0; !isStopped && ms < 6000; ms += 10) {
       await world.clock.advance(10);
-      longest = Math.max(longest, ...CELLS.map(cell => idleMs(world, cell)));
+      longest = Math.max(
+        longest,
+        ...CELLS.map(cell => leaderlessMs(world, cell)),
+      );
     }
     t.ok(isStopped, `${host} has stopped`);
     world.start(host);
     await world.clock.advance(1500);
   }
-  t.ok(longest <= 100, `nobody led a cell for ${longest} ms`);
+  t.ok(longest <= 100, `a cell had no leader for ${longest} ms`);
   t.ok(isLed(world, CELLS));
   t.strictSame(world.violations, []);
 });
 
 // A router that joins gets its share of cells by planned transfers, one at a
-// time, and no cell is without a leader meanwhile.
-void tap.test('leadership evens out slowly', async t => {
+// time, and every cell keeps a leader meanwhile.
+void tap.test('leadership is balanced gradually', async t => {
   const world = createWorld({hosts: HOSTS, cells: CELLS.length});
   world.router('d').process.kill();
   await world.until(() => isLed(world, CELLS), 8000);
   world.start('d');
   await world.clock.advance(3000);
-  t.equal(ledBy(world, 'd').length, 0, 'joining alone takes nothing over');
+  t.equal(
+    ledBy(world, 'd').length,
+    0,
+    'a joining router takes over no cell at first',
+  );
   const counts: number[] = [];
   for (let i = 0; i < 12; i++) {
     await world.clock.advance(5000);
@@ -70,24 +77,24 @@
   t.strictSame(world.violations, []);
 });
 
-// A router starts while the log is down. It cannot read who leads what, so
-// it asks the others, and can then pass requests on; it gets no role.
+// A router starts while the log is down. It cannot read which routers lead, so
+// it asks the others and can then forward requests; it gets no role.
 void tap.test('a start during an outage of the log', async t => {
   const {world, leader} = await createScene(HOSTS);
   world.faults.refuses = true;
   const other = HOSTS.find(host => host !== leader) ?? '';
   const {ownership} = world.start(other);
-  const knows = (): boolean => ownership.leaderOf('holds/0') !== null;
-  const took = await world.until(knows, 5000);
-  t.ok(took > 0, `knows the leader after ${took} ms`);
+  const knowsLeader = (): boolean => ownership.leaderOf('holds/0') !== null;
+  const tookMs = await world.until(knowsLeader, 5000);
+  t.ok(tookMs > 0, `knowsLeader the leader after ${tookMs} ms`);
 });
 
-const idleSince = new WeakMap<World, Map<string, number>>();
+const leaderlessSince = new WeakMap<World, Map<string, number>>();
 
-/** How long nobody has led the cell by now, looked at every 10 ms. */
-function idleMs(world: World, cell: string): number {
-  const since = idleSince.get(world) ?? new Map<string, number>();
-  idleSince.set(world, since);
+/** For how long no router has led the cell; call every 10 ms. */
+function leaderlessMs(world: World, cell: string): number {
+  const since = leaderlessSince.get(world) ?? new Map<string, number>();
+  leaderlessSince.set(world, since);
   if (world.acting(cell)) since.delete(cell);
   else if (!since.has(cell)) since.set(cell, world.clock.now());
   return world.clock.now() - (since.get(cell) ?? world.clock.now());
@@ -101,7 +108,7 @@
   return CELLS.filter(cell => world.acting(cell)?.host === host);
 }
 
-function busiest(world: World): {
+function busiestRouter(world: World): {
   readonly lost: string;
   readonly cells: readonly string[];
 } {
--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -6,13 +6,13 @@
 
 interface Case {
   readonly name: string;
-  /** Brings the fault about; may let time pass. */
+  /** Injects the fault; may advance the clock. */
   readonly fault: (scene: Scene) => Promise<void> | void;
-  /** How long the test watches after that, in ms. */
+  /** How long the test observes the cell after that, in ms. */
   readonly watchMs: number;
-  /** Longest time without an acting leader, in ms: least and most. */
+  /** Bounds of the longest time without an acting leader, in ms. */
   readonly gap: readonly [number, number];
-  /** Who acts in the end. */
+  /** Which router acts in the end. */
   readonly by: 'leader' | 'standby' | 'other' | 'nobody';
 }
 
@@ -20,9 +20,9 @@
 const NONE = [0, 0] as const;
 
 const cases: readonly Case[] = [
-  // Requests of the cell fail until the standby has noticed the silence
-  // (750 ms), tried a new connection (250 ms), claimed, and waited until the
-  // leader, had it only been cut off, could not act any more (1030 ms).
+  // Requests for the cell fail until the standby has noticed the silence
+  // (750 ms), probed on a new connection (250 ms), claimed the cell, and waited
+  // until a leader that was only disconnected could no longer act (1030 ms).
   {
     name: 'leader lost',
     fault: ({world, leader}) => world.router(leader).process.kill(),
@@ -30,8 +30,8 @@
     gap: [2000, 2500],
     by: 'standby',
   },
-  // The standby takes over meanwhile. The old leader wakes up with its old
-  // view still in memory, and must not act on it for a single step.
+  // The standby takes over meanwhile. The old leader resumes with its old view
+  // in memory and must not act on it at all.
   {
     name: 'leader paused for 10 s',
     fault: ({world, leader}) => world.router(leader).process.pause(),
@@ -50,7 +50,7 @@
     gap: NONE,
     by: 'standby',
   },
-  // A pause too short for anybody to doubt: the leader goes on.
+  // The pause is too short to be suspected: the leader continues.
   {
     name: 'leader paused for 600 ms',
     fault: async ({world, leader}) => {
@@ -62,8 +62,8 @@
     gap: NONE,
     by: 'leader',
   },
-  // The standby wakes up and has heard nothing for seconds, since it read no
-  // messages. By then it was replaced; it must not depose anybody.
+  // The standby resumes after seconds without messages, because it read none
+  // while paused. It was replaced by then and must not replace the leader.
   {
     name: 'standby paused for 5 s and back',
     fault: async ({world, standby}) => {
@@ -75,8 +75,8 @@
     gap: NONE,
     by: 'leader',
   },
-  // The same with the log down, so that it was not replaced: its own pause
-  // must not count as silence of the leader.
+  // As above, but the leader cannot reach the log, so the standby was not
+  // replaced. Its own pause must not count as silence of the leader.
   {
     name: 'standby paused while the log is down for the leader',
     fault: async ({world, leader, standby}) => {
@@ -89,7 +89,7 @@
     gap: [0, 300],
     by: 'leader',
   },
-  // The leader cannot read the log, its standby can. It lives on consent.
+  // The leader cannot read the log, its standby can. Consent keeps it acting.
   {
     name: 'leader split from the log',
     fault: ({world, leader}) => {
@@ -100,8 +100,8 @@
     gap: NONE,
     by: 'leader',
   },
-  // Both are well and read the log, but don't hear of each other. The leader
-  // gives up earlier than the standby and takes another one.
+  // Both run and read the log but receive nothing from each other. The leader
+  // times out before the standby does and takes another standby.
   {
     name: 'leader and standby split from each other',
     fault: ({world, leader, standby}) => {
@@ -119,7 +119,7 @@
     gap: NONE,
     by: 'leader',
   },
-  // The standby hears the questions, the leader gets no answers.
+  // The standby receives the requests, the leader gets no responses.
   {
     name: 'messages from standby to leader lost',
     fault: ({world, leader, standby}) => world.network.cut(standby, leader),
@@ -127,8 +127,8 @@
     gap: NONE,
     by: 'leader',
   },
-  // The leader reaches nobody at all. It stops by its own clock, and the
-  // standby acts only after that.
+  // The leader reaches no other process. It stops acting by its own clock, and
+  // the standby acts only after that.
   {
     name: 'leader split from everything',
     fault: ({world, leader}) => void isolate(world, [leader]),
@@ -143,7 +143,7 @@
     gap: NONE,
     by: 'leader',
   },
-  // Nothing can be claimed, nothing needs to be: consent carries the leader.
+  // No claim is possible and none is needed: consent keeps the leader acting.
   {
     name: 'log down for 20 s',
     fault: ({world}) => void (world.faults.refuses = true),
@@ -151,9 +151,9 @@
     gap: NONE,
     by: 'leader',
   },
-  // The way between the two fails for 2 s while the log is down. The leader
-  // stops, but the standby must not withdraw: nobody could take over, and
-  // the leader could not go on when the way is back.
+  // The connection between the two fails for 2 s while the log is down. The
+  // leader stops acting, but the standby must not withdraw: no router could
+  // take over, and the leader could not continue after the connection returns.
   {
     name: 'log down, leader and standby split for 2 s',
     fault: async ({world, leader, standby}) => {
@@ -167,9 +167,9 @@
     gap: [0, 500],
     by: 'leader',
   },
-  // A read takes 1.4 s, longer than T, so nobody can trust the log any more;
-  // consent carries the leader. That must not keep a standby from claiming
-  // when the leader is lost, though its readings are old when they arrive.
+  // A read takes 1.4 s, longer than `authorityMs`, so no router can rely on the
+  // log; consent keeps the leader acting. A standby must still be able to claim
+  // when the leader is lost, although its readings are old on arrival.
   {
     name: 'log slow for 20 s',
     fault: ({world}) => slowDownLog(world),
@@ -199,7 +199,7 @@
     gap: [1000, 4000],
     by: 'leader',
   },
-  // Nobody can agree on a new leader without the log.
+  // No new leader can be agreed on without the log.
   {
     name: 'log down and leader lost',
     fault: async ({world, leader}) => {
@@ -223,8 +223,8 @@
     gap: [1000, 2500],
     by: 'standby',
   },
-  // The standby withdraws with the log at hand, and then the log refuses its
-  // claim for 5 s. The withdrawal stands, the claim is tried on.
+  // The standby withdraws while it can read the log, and then the log refuses
+  // its claim for 5 s. The withdrawal stands and the claim is retried.
   {
     name: 'log down right after the standby withdrew',
     fault: async ({world, leader, standby}) => {
@@ -238,7 +238,7 @@
     gap: [1000, 3500],
     by: 'standby',
   },
-  // The claim is in the log, the claimant doesn't know. It reads it back.
+  // The claim is in the log but the claimant does not know. It reads it later.
   {
     name: "reply to the standby's claim lost",
     fault: ({world, leader}) => {
@@ -249,8 +249,8 @@
     gap: [1000, 3500],
     by: 'standby',
   },
-  // The first claim stays on its way for 5 s and arrives after a second one
-  // of the same standby has won.
+  // The first claim is delayed for 5 s and arrives after a second claim by the
+  // same standby has won.
   {
     name: "standby's claim delivered late",
     fault: ({world, leader}) => {
@@ -262,7 +262,8 @@
     gap: [2000, 4500],
     by: 'standby',
   },
-  // Nobody can tell "lost" from "cut off together": without proof, all wait.
+  // Other routers cannot tell a lost pair from a disconnected one. Without
+  // proof, they all wait.
   {
     name: 'leader and standby lost',
     fault: ({world, leader, standby}) => {
@@ -273,7 +274,8 @@
     gap: [8000, 10_000],
     by: 'nobody',
   },
-  // The new run answers at the old one's address: the old one is over.
+  // The new incarnation answers at the old one's address, which proves that the
+  // old one has terminated.
   {
     name: 'leader and standby lost, standby restarted',
     fault: async ({world, leader, standby}) => {
@@ -299,8 +301,8 @@
     gap: [1000, 4500],
     by: 'other',
   },
-  // Planned stop: the leader stops acting, hands the table over, and the
-  // standby need not wait for anything.
+  // Planned stop: the leader stops acting and hands the table over, so the
+  // standby does not have to wait.
   {
     name: 'leader stopped as planned',
     fault: ({world, leader}) => void world.router(leader).ownership.stop(),
@@ -322,10 +324,10 @@
     gap: [0, 250],
     by: 'standby',
   },
-  // The resignation arrives, its answer does not: the old leader must not
-  // take its right back, since the standby claims at once.
+  // The resignation arrives, its response does not. The old leader must not
+  // resume its authority, since the standby claims at once.
   {
-    name: 'answer to the resignation lost',
+    name: 'response to the resignation lost',
     fault: ({world, leader, standby}) => {
       void world.router(leader).ownership.stop();
       world.network.cut(standby, leader);
@@ -342,8 +344,11 @@
     const {world} = scene;
     await fault(scene);
     const longest = await world.longestGap(watchMs);
-    t.strictSame(world.violations, [], 'one holder at most, at any time');
-    t.ok(longest >= gap[0] && longest <= gap[1], `nobody for ${longest} ms`);
+    t.strictSame(world.violations, [], 'at most one acting leader at any time');
+    t.ok(
+      longest >= gap[0] && longest <= gap[1],
+      `no acting leader for ${longest} ms`,
+    );
     t.equal(roleOf(scene, world.acting()?.host), by);
   });
 }
