--- a/packages/ownership/src/clearance.ts
+++ b/packages/ownership/src/clearance.ts
@@ -91,7 +91,7 @@
   pair: FormerPair,
   incarnation: Incarnation,
 ): Promise<IncarnationState> {
-  if (isKnownTerminated(ctx, incarnation)) return 'gone';
+  if (isTerminated(ctx, incarnation)) return 'gone';
   if (incarnation.boot === ctx.self.boot) return 'stopped';
   const request = {cell: view.cell, epoch: pair.epoch};
   const res = await ctx.peers.ask(
@@ -105,7 +105,7 @@
 }
 
 /** Whether an incarnation is known to have ended, without asking any router. */
-export function isKnownTerminated(
+export function isTerminated(
   ctx: OwnershipContext,
   incarnation: Incarnation,
 ): boolean {
--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -3,7 +3,7 @@
 import {sameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {ClaimPlan, Claimer} from './claims.js';
-import {isKnownTerminated} from './clearance.js';
+import {isTerminated} from './clearance.js';
 import type {OwnershipContext} from './context.js';
 import type {Ring, RouterHost} from './election.js';
 import {pickFromRing} from './election.js';
@@ -79,7 +79,7 @@
   ctx: OwnershipContext,
   leader: Incarnation,
 ): ReturnType<typeof probeLeader> {
-  if (isKnownTerminated(ctx, leader)) return 'gone';
+  if (isTerminated(ctx, leader)) return 'gone';
   const res = await ctx.peers.ask(
     leader,
     'leads',
@@ -108,8 +108,7 @@
     const rank = watchRank(ctx, ring, view);
     if (rank === null) return false;
     // The standby, if there is one, is to have its chance first.
-    const isAlone =
-      view.standby === null || isKnownTerminated(ctx, view.standby);
+    const isAlone = view.standby === null || isTerminated(ctx, view.standby);
     const graceMs = isLeaderGone && isAlone ? 0 : 2 * timing.suspicionMs;
     return lostForMs >= graceMs + rank * timing.rankDelayMs;
   });
@@ -160,7 +159,7 @@
 ): Promise<StandbyState> {
   const {standby, cell, epoch} = view;
   const {authorityMs, responseTimeoutMs: answerMs} = ctx.timing;
-  if (standby === null || isKnownTerminated(ctx, standby)) return 'over';
+  if (standby === null || isTerminated(ctx, standby)) return 'over';
   const ask = {cell, epoch};
   // Longer than an answer takes: the standby probes its leader first.
   const res = await ctx.peers.ask(standby, 'withdraw', ask, 2 * answerMs);
--- a/packages/ownership/src/standby-keeper.ts
+++ b/packages/ownership/src/standby-keeper.ts
@@ -1,5 +1,5 @@
 import type {ClaimPlan, Claimer} from './claims.js';
-import {isKnownTerminated} from './clearance.js';
+import {isTerminated} from './clearance.js';
 import type {Condition} from './condition.js';
 import type {OwnershipContext} from './context.js';
 import type {Leadership, Tenure} from './leadership.js';
@@ -45,9 +45,7 @@
     const {standby} = tenure.holder.view();
     if (standby === null) return membership.candidates().length > 1;
     if (isSuspected(tenure) || membership.isLeaving(standby)) return true;
-    return (
-      !membership.mayKeepRoles(standby.host) || isKnownTerminated(ctx, standby)
-    );
+    return !membership.mayKeepRoles(standby.host) || isTerminated(ctx, standby);
   };
 
   const needsClaim = (tenure: Tenure): boolean =>
--- a/packages/ownership/src/standby-watch.ts
+++ b/packages/ownership/src/standby-watch.ts
@@ -3,7 +3,7 @@
 import {sameIncarnation} from '@banyandrum/base/ids.js';
 import type {OwnershipContext} from './context.js';
 import type {StandbyRole, Standby} from './standby.js';
-import {isKnownTerminated} from './clearance.js';
+import {isTerminated} from './clearance.js';
 
 /**
  * Watches one leader as its standby, for all cells that it shares with this
@@ -57,7 +57,7 @@
   ctx: OwnershipContext,
   leader: Incarnation,
 ): Promise<LeaderProbeResult> {
-  if (isKnownTerminated(ctx, leader)) return 'gone';
+  if (isTerminated(ctx, leader)) return 'gone';
   const startedAt = ctx.clock.now();
   const res = await ctx.peers.probe(
     leader.address,
@@ -96,7 +96,7 @@
     .filter(
       role =>
         isConsentedTo(role, leader) &&
-        (isKnownTerminated(ctx, leader) ||
+        (isTerminated(ctx, leader) ||
           leaderSilenceMs(ctx, role) > ctx.timing.suspicionMs),
     );
 }
