--- a/packages/ownership/src/claims.ts
+++ b/packages/ownership/src/claims.ts
@@ -68,7 +68,7 @@
     if (res === undefined) return 'unknown';
     if (res.ok) return 'appended';
     const {kind, detail} = res.val;
-    ctx.log.warn('could not append claims to the log', {
+    ctx.log.warn('append of claims failed', {
       cells: batch.length,
       kind,
       detail,
--- a/packages/ownership/src/clearance.ts
+++ b/packages/ownership/src/clearance.ts
@@ -18,7 +18,7 @@
  *
  * @example
  * ```ts
- * await waitUntilCleared(ctx, view, signal);
+ * await waitForFormerLeaders(ctx, view, signal);
  * ```
  */
 export async function waitForFormerLeaders(
--- a/packages/ownership/src/handlers.ts
+++ b/packages/ownership/src/handlers.ts
@@ -68,14 +68,14 @@
   if (role === null) return refuse('not the standby of this epoch');
   if (role.withdrawnAt === null) {
     if (leaderSilenceMs(ctx, role) <= ctx.timing.suspicionMs) {
-      return refuse('its leader still requests consent');
+      return refuse('its leader asks for consent');
     }
     const proof = await probeLeader(ctx, role.view.leader);
     if (proof === 'there' || proof === 'paused') {
-      return refuse('its leader is not known to be lost');
+      return refuse('its leader is not proved lost');
     }
     if (leaderSilenceMs(ctx, role) <= ctx.timing.suspicionMs) {
-      return refuse('its leader still requests consent');
+      return refuse('its leader asks for consent');
     }
     standby.withdraw(cell, epoch);
   }
--- a/packages/ownership/src/standby-keeper.ts
+++ b/packages/ownership/src/standby-keeper.ts
@@ -17,7 +17,7 @@
 
 /**
  * Replaces standbys that are silent, leaving or missing by claiming a new view
- * with the same leader. All cells due since one time share a record.
+ * with the same leader. All cells due at one time share a record.
  *
  * @example
  * ```ts
@@ -35,10 +35,8 @@
   const suspectedAt = new WeakMap<Tenure, number>();
 
   const isSuspected = (tenure: Tenure): boolean => {
-    const since = suspectedAt.get(tenure) ?? -Infinity;
-    return (
-      since > tenure.viewKnownSince() && since > tenure.holder.lastConsentAt()
-    );
+    const at = suspectedAt.get(tenure) ?? -Infinity;
+    return at > tenure.viewKnownSince() && at > tenure.holder.lastConsentAt();
   };
 
   const needsNewStandby = (tenure: Tenure): boolean => {
--- a/packages/ownership/test/authority.test.ts
+++ b/packages/ownership/test/authority.test.ts
@@ -33,7 +33,7 @@
 // The standby's response takes 200 ms. The leader may act for `authorityMs`
 // after its request, not after the response: the standby may have withdrawn
 // right after it responded, and its successor waits from the withdrawal on.
-void tap.test('consent counts from the time of the request', async t => {
+void tap.test('consent counts from when it was asked for', async t => {
   const ctx = createContext(LEADER);
   const holder = createAuthorityHolder(ctx, VIEW);
   const requestedAt: number[] = [];
@@ -110,7 +110,7 @@
   });
 }
 
-/** Makes a table createTableMessage; a negative version has other entries. */
+/** Creates a table message; a negative version has other entries. */
 function createTableMessage(
   version: number,
   epoch: number,
--- a/packages/ownership/test/planned.test.ts
+++ b/packages/ownership/test/planned.test.ts
@@ -54,17 +54,13 @@
 
 // A router that joins gets its share of cells by planned transfers, one at a
 // time, and every cell keeps a leader meanwhile.
-void tap.test('leadership is balanced gradually', async t => {
+void tap.test('leadership evens out slowly', async t => {
   const world = createWorld({hosts: HOSTS, cells: CELLS.length});
   world.router('d').process.kill();
   await world.until(() => isLed(world, CELLS), 8000);
   world.start('d');
   await world.clock.advance(3000);
-  t.equal(
-    ledBy(world, 'd').length,
-    0,
-    'a joining router takes over no cell at first',
-  );
+  t.equal(ledBy(world, 'd').length, 0, 'joining alone takes nothing over');
   const counts: number[] = [];
   for (let i = 0; i < 12; i++) {
     await world.clock.advance(5000);
@@ -86,7 +82,7 @@
   const {ownership} = world.start(other);
   const knowsLeader = (): boolean => ownership.leaderOf('holds/0') !== null;
   const tookMs = await world.until(knowsLeader, 5000);
-  t.ok(tookMs > 0, `knowsLeader the leader after ${tookMs} ms`);
+  t.ok(tookMs > 0, `knows the leader after ${tookMs} ms`);
 });
 
 const leaderlessSince = new WeakMap<World, Map<string, number>>();
--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -327,7 +327,7 @@
   // The resignation arrives, its response does not. The old leader must not
   // resume its authority, since the standby claims at once.
   {
-    name: 'response to the resignation lost',
+    name: 'answer to the resignation lost',
     fault: ({world, leader, standby}) => {
       void world.router(leader).ownership.stop();
       world.network.cut(standby, leader);
