--- a/packages/ownership/src/election.ts
+++ b/packages/ownership/src/election.ts
@@ -54,7 +54,7 @@
  *
  * @example
  * ```ts
- * isAmongFirst('holds/0', 'entry-3', routers, 1); // ranks first
+ * isRankedWithin('holds/0', 'entry-3', routers, 1); // ranks first
  * ```
  */
 export function isRankedWithin(
--- a/packages/ownership/src/resignation.ts
+++ b/packages/ownership/src/resignation.ts
@@ -15,7 +15,7 @@
  *
  * @example
  * ```ts
- * await resignCells(ctx, leadership, leadership.tenures());
+ * await resignCells(ctx, leadership, leadership.activeTenures());
  * ```
  */
 export async function resignCells(
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -71,7 +71,7 @@
  *
  * @example
  * ```ts
- * withMargin({driftPpm: 10_000}, 1000); // 1030
+ * withClockMargin({driftPpm: 10_000}, 1000); // 1030
  * ```
  */
 export function withClockMargin(
