--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -7,7 +7,7 @@
 interface Case {
   readonly name: string;
   /** Injects the fault; may advance the clock. */
-  readonly fault: (scene: Scene) => Promise<void> | void;
+  readonly fault: (harness: Scene) => Promise<void> | void;
   /** How long the test observes the cell after that, in ms. */
   readonly watchMs: number;
   /** Bounds of the longest time without an acting leader, in ms. */
@@ -25,7 +25,7 @@
   // until a leader that was only disconnected could no longer act (1030 ms).
   {
     name: 'leader lost',
-    fault: ({world, leader}) => world.router(leader).process.kill(),
+    fault: ({world: cluster, leader}) => cluster.router(leader).process.kill(),
     watchMs: 8000,
     gap: [2000, 2500],
     by: 'standby',
@@ -34,17 +34,17 @@
   // in memory and must not act on it at all.
   {
     name: 'leader paused for 10 s',
-    fault: ({world, leader}) => world.router(leader).process.pause(),
+    fault: ({world: cluster, leader}) => cluster.router(leader).process.pause(),
     watchMs: 10_000,
     gap: [2000, 2500],
     by: 'standby',
   },
   {
     name: 'leader paused for 10 s and back',
-    fault: async ({world, leader}) => {
-      world.router(leader).process.pause();
-      await world.clock.advance(10_000);
-      world.router(leader).process.resume();
+    fault: async ({world: cluster, leader}) => {
+      cluster.router(leader).process.pause();
+      await cluster.clock.advance(10_000);
+      cluster.router(leader).process.resume();
     },
     watchMs: 5000,
     gap: NONE,
@@ -53,10 +53,10 @@
   // The pause is too short to be suspected: the leader continues.
   {
     name: 'leader paused for 600 ms',
-    fault: async ({world, leader}) => {
-      world.router(leader).process.pause();
-      await world.clock.advance(600);
-      world.router(leader).process.resume();
+    fault: async ({world: cluster, leader}) => {
+      cluster.router(leader).process.pause();
+      await cluster.clock.advance(600);
+      cluster.router(leader).process.resume();
     },
     watchMs: 5000,
     gap: NONE,
@@ -66,10 +66,10 @@
   // while paused. It was replaced by then and must not replace the leader.
   {
     name: 'standby paused for 5 s and back',
-    fault: async ({world, standby}) => {
-      world.router(standby).process.pause();
-      await world.clock.advance(5000);
-      world.router(standby).process.resume();
+    fault: async ({world: cluster, standby}) => {
+      cluster.router(standby).process.pause();
+      await cluster.clock.advance(5000);
+      cluster.router(standby).process.resume();
     },
     watchMs: 5000,
     gap: NONE,
@@ -79,11 +79,11 @@
   // replaced. Its own pause must not count as silence of the leader.
   {
     name: 'standby paused while the log is down for the leader',
-    fault: async ({world, leader, standby}) => {
-      world.network.cut(LOG, leader);
-      world.router(standby).process.pause();
-      await world.clock.advance(900);
-      world.router(standby).process.resume();
+    fault: async ({world: cluster, leader, standby}) => {
+      cluster.network.cut(LOG, leader);
+      cluster.router(standby).process.pause();
+      await cluster.clock.advance(900);
+      cluster.router(standby).process.resume();
     },
     watchMs: 8000,
     gap: [0, 300],
@@ -92,9 +92,9 @@
   // The leader cannot read the log, its standby can. Consent keeps it acting.
   {
     name: 'leader split from the log',
-    fault: ({world, leader}) => {
-      world.network.cut(leader, LOG);
-      world.network.cut(LOG, leader);
+    fault: ({world: cluster, leader}) => {
+      cluster.network.cut(leader, LOG);
+      cluster.network.cut(LOG, leader);
     },
     watchMs: 10_000,
     gap: NONE,
@@ -104,9 +104,9 @@
   // times out before the standby does and takes another standby.
   {
     name: 'leader and standby split from each other',
-    fault: ({world, leader, standby}) => {
-      world.network.cut(leader, standby);
-      world.network.cut(standby, leader);
+    fault: ({world: cluster, leader, standby}) => {
+      cluster.network.cut(leader, standby);
+      cluster.network.cut(standby, leader);
     },
     watchMs: 8000,
     gap: NONE,
@@ -114,7 +114,8 @@
   },
   {
     name: 'messages from leader to standby lost',
-    fault: ({world, leader, standby}) => world.network.cut(leader, standby),
+    fault: ({world: cluster, leader, standby}) =>
+      cluster.network.cut(leader, standby),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -122,7 +123,8 @@
   // The standby receives the requests, the leader gets no responses.
   {
     name: 'messages from standby to leader lost',
-    fault: ({world, leader, standby}) => world.network.cut(standby, leader),
+    fault: ({world: cluster, leader, standby}) =>
+      cluster.network.cut(standby, leader),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -131,14 +133,15 @@
   // the standby acts only after that.
   {
     name: 'leader split from everything',
-    fault: ({world, leader}) => void isolate(world, [leader]),
+    fault: ({world: cluster, leader}) => void isolate(cluster, [leader]),
     watchMs: 8000,
     gap: [500, 2500],
     by: 'standby',
   },
   {
     name: 'standby lost',
-    fault: ({world, standby}) => world.router(standby).process.kill(),
+    fault: ({world: cluster, standby}) =>
+      cluster.router(standby).process.kill(),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -146,7 +149,7 @@
   // No claim is possible and none is needed: consent keeps the leader acting.
   {
     name: 'log down for 20 s',
-    fault: ({world}) => void (world.faults.refuses = true),
+    fault: ({world: cluster}) => void (cluster.faults.refuses = true),
     watchMs: 20_000,
     gap: NONE,
     by: 'leader',
@@ -156,12 +159,12 @@
   // take over, and the leader could not continue after the connection returns.
   {
     name: 'log down, leader and standby split for 2 s',
-    fault: async ({world, leader, standby}) => {
-      world.faults.refuses = true;
-      await world.clock.advance(3000);
-      world.network.cut(leader, standby);
-      await world.clock.advance(2000);
-      world.network.heal();
+    fault: async ({world: cluster, leader, standby}) => {
+      cluster.faults.refuses = true;
+      await cluster.clock.advance(3000);
+      cluster.network.cut(leader, standby);
+      await cluster.clock.advance(2000);
+      cluster.network.heal();
     },
     watchMs: 8000,
     gap: [0, 500],
@@ -172,17 +175,17 @@
   // when the leader is lost, although its readings are old on arrival.
   {
     name: 'log slow for 20 s',
-    fault: ({world}) => slowDownLog(world),
+    fault: ({world: cluster}) => slowDownLog(cluster),
     watchMs: 20_000,
     gap: NONE,
     by: 'leader',
   },
   {
     name: 'log slow and leader lost',
-    fault: async ({world, leader}) => {
-      slowDownLog(world);
-      await world.clock.advance(5000);
-      world.router(leader).process.kill();
+    fault: async ({world: cluster, leader}) => {
+      slowDownLog(cluster);
+      await cluster.clock.advance(5000);
+      cluster.router(leader).process.kill();
     },
     watchMs: 10_000,
     gap: [2000, 5000],
@@ -190,10 +193,10 @@
   },
   {
     name: 'log slow and standby lost',
-    fault: async ({world, standby}) => {
-      slowDownLog(world);
-      await world.clock.advance(5000);
-      world.router(standby).process.kill();
+    fault: async ({world: cluster, standby}) => {
+      slowDownLog(cluster);
+      await cluster.clock.advance(5000);
+      cluster.router(standby).process.kill();
     },
     watchMs: 10_000,
     gap: [1000, 4000],
@@ -202,10 +205,10 @@
   // No new leader can be agreed on without the log.
   {
     name: 'log down and leader lost',
-    fault: async ({world, leader}) => {
-      world.faults.refuses = true;
-      world.router(leader).process.kill();
-      await world.clock.advance(2000);
+    fault: async ({world: cluster, leader}) => {
+      cluster.faults.refuses = true;
+      cluster.router(leader).process.kill();
+      await cluster.clock.advance(2000);
     },
     watchMs: 10_000,
     gap: [10_000, 10_000],
@@ -213,11 +216,11 @@
   },
   {
     name: 'log down and leader lost, log back',
-    fault: async ({world, leader}) => {
-      world.faults.refuses = true;
-      world.router(leader).process.kill();
-      await world.clock.advance(10_000);
-      world.faults.refuses = false;
+    fault: async ({world: cluster, leader}) => {
+      cluster.faults.refuses = true;
+      cluster.router(leader).process.kill();
+      await cluster.clock.advance(10_000);
+      cluster.faults.refuses = false;
     },
     watchMs: 5000,
     gap: [1000, 2500],
@@ -227,12 +230,12 @@
   // its claim for 5 s. The withdrawal stands and the claim is retried.
   {
     name: 'log down right after the standby withdrew',
-    fault: async ({world, leader, standby}) => {
-      world.router(leader).process.kill();
-      await world.until(() => world.withdrawals(standby) > 0, 2000);
-      world.faults.refuses = true;
-      await world.clock.advance(5000);
-      world.faults.refuses = false;
+    fault: async ({world: cluster, leader, standby}) => {
+      cluster.router(leader).process.kill();
+      await cluster.until(() => cluster.withdrawals(standby) > 0, 2000);
+      cluster.faults.refuses = true;
+      await cluster.clock.advance(5000);
+      cluster.faults.refuses = false;
     },
     watchMs: 6000,
     gap: [1000, 3500],
@@ -241,9 +244,9 @@
   // The claim is in the log but the claimant does not know. It reads it later.
   {
     name: "reply to the standby's claim lost",
-    fault: ({world, leader}) => {
-      world.faults.losesReplies = true;
-      world.router(leader).process.kill();
+    fault: ({world: cluster, leader}) => {
+      cluster.faults.losesReplies = true;
+      cluster.router(leader).process.kill();
     },
     watchMs: 8000,
     gap: [1000, 3500],
@@ -253,10 +256,10 @@
   // same standby has won.
   {
     name: "standby's claim delivered late",
-    fault: ({world, leader}) => {
+    fault: ({world: cluster, leader}) => {
       let claims = 0;
-      world.faults.appendDelay = () => (claims++ === 0 ? 5000 : 0);
-      world.router(leader).process.kill();
+      cluster.faults.appendDelay = () => (claims++ === 0 ? 5000 : 0);
+      cluster.router(leader).process.kill();
     },
     watchMs: 12_000,
     gap: [2000, 4500],
@@ -266,9 +269,9 @@
   // proof, they all wait.
   {
     name: 'leader and standby lost',
-    fault: ({world, leader, standby}) => {
-      world.router(leader).process.kill();
-      world.router(standby).process.kill();
+    fault: ({world: cluster, leader, standby}) => {
+      cluster.router(leader).process.kill();
+      cluster.router(standby).process.kill();
     },
     watchMs: 10_000,
     gap: [8000, 10_000],
@@ -278,11 +281,11 @@
   // old one has terminated.
   {
     name: 'leader and standby lost, standby restarted',
-    fault: async ({world, leader, standby}) => {
-      world.router(leader).process.kill();
-      world.router(standby).process.kill();
-      await world.clock.advance(5000);
-      world.start(standby);
+    fault: async ({world: cluster, leader, standby}) => {
+      cluster.router(leader).process.kill();
+      cluster.router(standby).process.kill();
+      await cluster.clock.advance(5000);
+      cluster.start(standby);
     },
     watchMs: 8000,
     gap: [1000, 4500],
@@ -290,12 +293,12 @@
   },
   {
     name: 'leader and standby lost, leader attested lost',
-    fault: async ({world, leader, standby}) => {
-      const {incarnation} = world.router(leader).process;
-      world.router(leader).process.kill();
-      world.router(standby).process.kill();
-      await world.clock.advance(5000);
-      world.attest(incarnation);
+    fault: async ({world: cluster, leader, standby}) => {
+      const {incarnation} = cluster.router(leader).process;
+      cluster.router(leader).process.kill();
+      cluster.router(standby).process.kill();
+      await cluster.clock.advance(5000);
+      cluster.attest(incarnation);
     },
     watchMs: 8000,
     gap: [1000, 4500],
@@ -305,21 +308,23 @@
   // standby does not have to wait.
   {
     name: 'leader stopped as planned',
-    fault: ({world, leader}) => void world.router(leader).ownership.stop(),
+    fault: ({world: cluster, leader}) =>
+      void cluster.router(leader).ownership.stop(),
     watchMs: 8000,
     gap: [0, 250],
     by: 'standby',
   },
   {
     name: 'standby stopped as planned',
-    fault: ({world, standby}) => void world.router(standby).ownership.stop(),
+    fault: ({world: cluster, standby}) =>
+      void cluster.router(standby).ownership.stop(),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
   },
   {
     name: 'leader drained by an operator',
-    fault: ({world, leader}) => world.drain(leader),
+    fault: ({world: cluster, leader}) => cluster.drain(leader),
     watchMs: 8000,
     gap: [0, 250],
     by: 'standby',
@@ -328,9 +333,9 @@
   // resume its authority, since the standby claims at once.
   {
     name: 'answer to the resignation lost',
-    fault: ({world, leader, standby}) => {
-      void world.router(leader).ownership.stop();
-      world.network.cut(standby, leader);
+    fault: ({world: cluster, leader, standby}) => {
+      void cluster.router(leader).ownership.stop();
+      cluster.network.cut(standby, leader);
     },
     watchMs: 8000,
     gap: [0, 250],
@@ -340,21 +345,26 @@
 
 for (const {name, fault, watchMs, gap, by} of cases) {
   void tap.test(name, async t => {
-    const scene = await createScene(HOSTS);
-    const {world} = scene;
-    await fault(scene);
-    const longest = await world.longestGap(watchMs);
-    t.strictSame(world.violations, [], 'at most one acting leader at any time');
+    const harness = await createScene(HOSTS);
+    const {world: cluster} = harness;
+    await fault(harness);
+    const longest = await cluster.longestGap(watchMs);
+    t.strictSame(
+      cluster.violations,
+      [],
+      'at most one acting leader at any time',
+    );
     t.ok(
       longest >= gap[0] && longest <= gap[1],
       `no acting leader for ${longest} ms`,
     );
-    t.equal(roleOf(scene, world.acting()?.host), by);
+    t.equal(roleOf(harness, cluster.acting()?.host), by);
   });
 }
 
-function slowDownLog(world: World): void {
-  world.network.latency = (from, to) => (from === LOG || to === LOG ? 700 : 2);
+function slowDownLog(cluster: World): void {
+  cluster.network.latency = (from, to) =>
+    from === LOG || to === LOG ? 700 : 2;
 }
 
 function roleOf(
