--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -363,8 +363,7 @@
 }
 
 function slowDownLog(cluster: World): void {
-  cluster.network.latency = (from, to) =>
-    from === LOG || to === LOG ? 700 : 2;
+  cluster.network.latency = (a, b) => (a === LOG || b === LOG ? 700 : 2);
 }
 
 function roleOf(
