--- a/packages/ownership/src/catch-up.ts
+++ b/packages/ownership/src/catch-up.ts
@@ -32,10 +32,10 @@
 }
 
 /** Before peers are asked, the log gets this long, in ms. */
-const FIRST_READ_MS = 1000;
-const RETRY_MS = 2000;
-const ANSWER_MS = 1000;
-const PEERS_ASKED = 5;
+const FIRST_READ_WAIT_MS = 1000;
+const RETRY_DELAY_MS = 2000;
+const PEER_TIMEOUT_MS = 1000;
+const PEERS_PER_ROUND = 5;
 
 /**
  * Takes over the newer state of other routers. What they know comes from the
@@ -57,33 +57,33 @@
     if (pulling.has(key)) return;
     pulling.add(key);
     const ask = {next: store.current().next};
-    const res = await peers.ask(from, 'state', ask, ANSWER_MS);
+    const res = await peers.ask(from, 'state', ask, PEER_TIMEOUT_MS);
     pulling.delete(key);
     if (!res.ok || res.val.encoded === null || signal.aborted) return;
     if (store.adopt(res.val.encoded)) log.info('state of a peer', {from: key});
   };
 
-  const pullFrom = async (address: string): Promise<void> => {
-    const found = await peers.probe(address, ANSWER_MS);
+  const pullFromAddress = async (address: string): Promise<void> => {
+    const found = await peers.probe(address, PEER_TIMEOUT_MS);
     if (found.ok) await pull(found.val);
   };
 
-  const someAddresses = (): readonly string[] =>
+  const sampleRouterAddresses = (): readonly string[] =>
     (options.hosts.current() ?? [])
       .filter(({role}) => role === 'router')
       .filter(({name}) => name !== options.self.host)
       .map(({address}) => ({address, order: random()}))
       .sort((a, b) => a.order - b.order)
-      .slice(0, PEERS_ASKED)
+      .slice(0, PEERS_PER_ROUND)
       .map(({address}) => address);
 
   return {
     pull: from => void pull(from),
     async runUntilRead() {
-      await sleep(clock, FIRST_READ_MS, signal);
+      await sleep(clock, FIRST_READ_WAIT_MS, signal);
       while (!signal.aborted && store.confirmedAt() === -Infinity) {
-        await Promise.all(someAddresses().map(pullFrom));
-        await sleep(clock, RETRY_MS * (0.5 + random()), signal);
+        await Promise.all(sampleRouterAddresses().map(pullFromAddress));
+        await sleep(clock, RETRY_DELAY_MS * (0.5 + random()), signal);
       }
     },
   };
--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -127,10 +127,10 @@
     timing,
     signal,
     onExchange: (_, changed) => {
-      locator.settle();
+      locator.resumeSettled();
       if (changed) wake.notify();
     },
-    onReport: (task, shards) => recovery.noteReport(task, shards),
+    onReport: (task, shards) => recovery.recordReport(task, shards),
   });
   const {tasks} = registry;
   const locator = createShardLocator({...options, cell, map, tasks});
@@ -164,7 +164,7 @@
     tasks,
     signal,
     wake,
-    foreignUntil: recovery.foreignUntil,
+    foreignUntil: recovery.formerLeaseExpiry,
   });
 
   const lead = async (): Promise<void> => {
@@ -184,7 +184,7 @@
     unsubscribe();
     await leading;
     await registry.ended();
-    return recovery.knowsTable() ? recorder.snapshot() : null;
+    return recovery.isTableKnown() ? recorder.snapshot() : null;
   };
 
   const describeServers = (): readonly ServerDescription[] =>
--- a/packages/ownership/src/handover.ts
+++ b/packages/ownership/src/handover.ts
@@ -2,7 +2,7 @@
 import {untilAborted, within} from './condition.js';
 import type {LeaseTask} from './lease-task.js';
 import type {ShardLocator} from './shard-locator.js';
-import type {ShardMap, Slot, TableRecorder} from './shard-table.js';
+import type {ShardMap, TrackedShard, TableRecorder} from './shard-table.js';
 
 /** What changes of ownership work on. */
 export interface HandoverContext {
@@ -24,7 +24,7 @@
  */
 export async function grantShard(
   ctx: HandoverContext,
-  slot: Slot,
+  slot: TrackedShard,
   to: string,
   reason: string,
 ): Promise<void> {
@@ -32,7 +32,7 @@
   slot.server = to;
   slot.next = null;
   slot.reason = reason;
-  ctx.recorder.touch();
+  ctx.recorder.markChanged();
   // Only once the standby knows may the server be told: a successor that
   // doesn't know would grant the shard to another server.
   if (!(await ctx.recorder.commit())) return;
@@ -45,7 +45,7 @@
 /** Notes that no server may hold the shard any more. */
 export function freeShard(
   ctx: HandoverContext,
-  slot: Slot,
+  slot: TrackedShard,
   reason: string,
 ): void {
   if (slot.server !== null) ctx.tasks.get(slot.server)?.drop([slot.shard]);
@@ -54,14 +54,14 @@
   slot.next = null;
   slot.reason = reason;
   slot.movedAt = ctx.clock.now();
-  ctx.recorder.touch();
+  ctx.recorder.markChanged();
 }
 
 /** How long requests in flight may hold up a change that can wait. */
-export const PATIENCE_MS = 1000;
+export const MAX_QUIESCE_MS = 1000;
 
 /** How long such a change is put off then. */
-const PUT_OFF_MS = 30_000;
+const POSTPONE_MS = 30_000;
 
 /**
  * Stops dispatch of a shard and lets its requests in flight finish. Without
@@ -76,30 +76,30 @@
  */
 export async function quiesce(
   ctx: HandoverContext,
-  slot: Slot,
+  slot: TrackedShard,
   task: LeaseTask,
-  mustGo: boolean,
+  isMandatory: boolean,
 ): Promise<boolean> {
   const {locator, clock, signal} = ctx;
   // A server that checks fences stops what still runs when it loses the shard.
   const wait = task.checksFences ? 'answered' : 'ended';
   const quiet = untilAborted(locator.pause(slot, wait), signal);
-  const isQuiet = mustGo
+  const isQuiet = isMandatory
     ? quiet.then(() => true)
-    : within(clock, PATIENCE_MS, quiet);
+    : within(clock, MAX_QUIESCE_MS, quiet);
   if (await isQuiet) return !signal.aborted;
   if (signal.aborted) return false;
-  slot.stayUntil = clock.now() + PUT_OFF_MS;
+  slot.postponedUntil = clock.now() + POSTPONE_MS;
   locator.resume(slot);
   return false;
 }
 
 /** What a shard's way to another server is for. */
-export interface HandoverOrder {
+export interface HandoverRequest {
   readonly to: string;
   readonly reason: string;
   /** The old server may not keep it, however long its requests take. */
-  readonly mustGo: boolean;
+  readonly isMandatory: boolean;
 }
 
 /**
@@ -116,17 +116,17 @@
  */
 export async function handOver(
   ctx: HandoverContext,
-  slot: Slot,
-  {to, reason, mustGo}: HandoverOrder,
+  slot: TrackedShard,
+  {to, reason, isMandatory: mustGo}: HandoverRequest,
 ): Promise<void> {
   const {signal} = ctx;
   const from = slot.server === null ? undefined : ctx.tasks.get(slot.server);
   if (from === undefined) return;
   slot.state = 'moving';
   slot.next = to;
-  ctx.recorder.touch();
+  ctx.recorder.markChanged();
   if (!(await ctx.recorder.commit())) return;
-  if (!(await quiesce(ctx, slot, from, mustGo))) return stayPut(ctx, slot);
+  if (!(await quiesce(ctx, slot, from, mustGo))) return cancelMove(ctx, slot);
   await from.release(slot.shard);
   if (signal.aborted) return;
   freeShard(ctx, slot, reason);
@@ -136,9 +136,9 @@
 }
 
 /** The move is given up before the old server was told of it. */
-function stayPut({signal, recorder}: HandoverContext, slot: Slot): void {
+function cancelMove({signal, recorder}: HandoverContext, slot: TrackedShard): void {
   if (signal.aborted) return;
   slot.state = 'held';
   slot.next = null;
-  recorder.touch();
+  recorder.markChanged();
 }
--- a/packages/ownership/src/hot-shards.ts
+++ b/packages/ownership/src/hot-shards.ts
@@ -1,4 +1,4 @@
-import type {Slot} from './shard-table.js';
+import type {TrackedShard} from './shard-table.js';
 import {type ShardMap, hotShardOf} from './shard-table.js';
 import type {HotPair} from './hot-split.js';
 import type {HotKey} from './led-cell.js';
@@ -68,10 +68,10 @@
       if (pairs.length >= Math.min(left, MAX_SPLITS)) break;
       if (periods < SPLIT_PERIODS) continue;
       if (map.get(hotShardOf(key)) !== undefined) continue;
-      const range = map.rangeOf(key);
+      const range = map.findRange(key);
       if (range === null || !isSettled(range, now)) continue;
       if (pairs.some(pair => pair.range === range)) continue;
-      pairs.push({key, hot: map.addHot(key), range});
+      pairs.push({key, hot: map.addHotKey(key), range});
     }
     return pairs;
   };
@@ -84,7 +84,7 @@
     const pairs: HotPair[] = [];
     for (const key of map.hotKeys()) {
       const hot = map.get(hotShardOf(key));
-      const range = map.rangeOf(key);
+      const range = map.findRange(key);
       if (hot === undefined || range === null) continue;
       const cold = busyOf(hot.shard) < least ? (coldFor.get(key) ?? 0) + 1 : 0;
       coldFor.set(key, cold);
@@ -107,7 +107,7 @@
   };
 }
 
-function isSettled(slot: Slot, now: number): boolean {
-  if (now < slot.stayUntil) return false;
-  return slot.state === 'held' && !slot.busy && !slot.paused;
+function isSettled(slot: TrackedShard, now: number): boolean {
+  if (now < slot.postponedUntil) return false;
+  return slot.state === 'held' && !slot.isChanging && !slot.isPaused;
 }
--- a/packages/ownership/src/hot-split.ts
+++ b/packages/ownership/src/hot-split.ts
@@ -4,13 +4,13 @@
  * where the key is owned.
  */
 import {type HandoverContext, quiesce} from './handover.js';
-import type {Slot} from './shard-table.js';
+import type {TrackedShard} from './shard-table.js';
 
 /** A hot key's slot and that of the hash range that it falls into. */
 export interface HotPair {
   readonly key: string;
-  readonly hot: Slot;
-  readonly range: Slot;
+  readonly hot: TrackedShard;
+  readonly range: TrackedShard;
 }
 
 /**
@@ -32,20 +32,20 @@
   const {key, hot, range} = pair;
   const {map, recorder, locator} = ctx;
   const task = range.server === null ? undefined : ctx.tasks.get(range.server);
-  if (task === undefined) return map.removeHot(key);
+  if (task === undefined) return map.removeHotKey(key);
   // Set before anything is awaited: any change of the table records this
   // entry too. A successor that found it free would give the key to another
   // server while requests for it still run under the range's id.
   hot.state = 'held';
   hot.server = range.server;
   hot.reason = 'split off as a hot key';
-  recorder.touch();
+  recorder.markChanged();
   // Quiet before the server is told: an undone split would else stop what
   // runs for the key.
   if (!(await quiesce(ctx, range, task, false))) return forget(ctx, key);
   if (await recorder.commit()) {
     task.add([hot.shard]);
-    if (await task.granted(hot.shard)) map.expose(key);
+    if (await task.granted(hot.shard)) map.activateHotKey(key);
     else await undoSplit(ctx, pair);
   }
   locator.resume(range);
@@ -62,8 +62,8 @@
 }
 
 function forget({map, recorder}: HandoverContext, key: string): void {
-  map.removeHot(key);
-  recorder.touch();
+  map.removeHotKey(key);
+  recorder.markChanged();
 }
 
 /**
@@ -89,7 +89,7 @@
   // stops whatever runs for the key.
   await task.release(hot.shard);
   if (signal.aborted) return;
-  map.conceal(key);
-  locator.dissolve(hot);
+  map.deactivateHotKey(key);
+  locator.retire(hot);
   forget(ctx, key);
 }
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -7,7 +7,7 @@
 import type {Condition} from './condition.js';
 import {
   type HandoverContext,
-  PATIENCE_MS,
+  MAX_QUIESCE_MS,
   freeShard,
   grantShard,
   handOver,
@@ -18,7 +18,7 @@
 import type {LeaseRegistry} from './lease-registry.js';
 import type {LoadWatch} from './load-watch.js';
 import {createPlanInput} from './plan-input.js';
-import type {Slot} from './shard-table.js';
+import type {TrackedShard} from './shard-table.js';
 
 export interface PlacerOptions extends HandoverContext {
   readonly authority: Authority;
@@ -81,7 +81,7 @@
       for (const move of plan(input)) carryOut(move);
       markStuck(input);
       if (load !== null) adjustHotKeys(load, input);
-      locator.settle();
+      locator.resumeSettled();
       await options.wake.wait(untilNextLapse(), signal);
     }
     await Promise.all(running);
@@ -106,14 +106,14 @@
   /** Takes shards back from servers that surely hold them no longer. */
   const reclaimLapsed = (): void => {
     for (const slot of map.all()) {
-      if (slot.server === null || slot.busy) continue;
+      if (slot.server === null || slot.isChanging) continue;
       if (!isLapsed(slot, slot.server)) continue;
       log.info('lease lapsed', {cell, shard: slot.shard, server: slot.server});
       freeShard(options, slot, `the lease of ${slot.server} lapsed`);
     }
   };
 
-  const isLapsed = (slot: Slot, server: string): boolean => {
+  const isLapsed = (slot: TrackedShard, server: string): boolean => {
     const now = clock.now();
     const task = tasks.get(server);
     // Taken over with the table, but not with the server: it wasn't in the
@@ -138,19 +138,19 @@
 
   const carryOut = (move: Move): void => {
     const slot = map.get(move.shard);
-    if (slot === undefined || slot.busy) return;
+    if (slot === undefined || slot.isChanging) return;
     if (slot.server !== null) return startHandover(slot, move.to, move.reason);
     start([slot], grantShard(options, slot, move.to, move.reason));
   };
 
-  const startHandover = (slot: Slot, to: string, reason: string): void => {
+  const startHandover = (slot: TrackedShard, to: string, reason: string): void => {
     const from = slot.server === null ? undefined : tasks.get(slot.server);
     const mustGo = from !== undefined && registry.leaving(from) !== null;
-    if (!mustGo && clock.now() < slot.stayUntil) return;
+    if (!mustGo && clock.now() < slot.postponedUntil) return;
     if (handovers >= MAX_HANDOVERS) return;
     handovers++;
     log.info('handing over', {cell, shard: slot.shard, to, reason});
-    const moved = handOver(options, slot, {to, reason, mustGo});
+    const moved = handOver(options, slot, {to, reason, isMandatory: mustGo});
     start([slot], countUntil(moved));
   };
 
@@ -165,7 +165,7 @@
       if (counts) handovers--;
       counts = false;
     };
-    const cancel = clock.after(PATIENCE_MS, () => {
+    const cancel = clock.after(MAX_QUIESCE_MS, () => {
       uncount();
       options.wake.notify();
     });
@@ -190,7 +190,7 @@
 
   const mergeBack = (pair: HotPair): void => {
     const {hot, range} = pair;
-    if (hot.busy || range.busy) return;
+    if (hot.isChanging || range.isChanging) return;
     if (hot.server === range.server) {
       start([hot, range], mergeKey(options, pair));
     } else if (range.server !== null) {
@@ -199,14 +199,14 @@
   };
 
   /** Keeps the slots out of other changes until this one has ended. */
-  const start = (slots: readonly Slot[], change: Promise<void>): void => {
-    for (const slot of slots) slot.busy = true;
+  const start = (slots: readonly TrackedShard[], change: Promise<void>): void => {
+    for (const slot of slots) slot.isChanging = true;
     const ended = change
       .catch((err: unknown) => {
         log.error('change of ownership failed', {cell, detail: String(err)});
       })
       .finally(() => {
-        for (const slot of slots) slot.busy = false;
+        for (const slot of slots) slot.isChanging = false;
         running.delete(ended);
         options.wake.notify();
       });
@@ -216,7 +216,7 @@
   const markStuck = ({candidates}: PlanInput): void => {
     const hasCandidate = candidates.some(({readiness}) => readiness > 0);
     for (const slot of map.all()) {
-      slot.stuck = slot.server === null && !hasCandidate;
+      slot.isUnplaceable = slot.server === null && !hasCandidate;
     }
   };
 
--- a/packages/ownership/src/plan-input.ts
+++ b/packages/ownership/src/plan-input.ts
@@ -7,7 +7,7 @@
 import type {LeaseRegistry} from './lease-registry.js';
 import type {LeaseTask} from './lease-task.js';
 import type {LoadWatch} from './load-watch.js';
-import type {ShardMap, Slot} from './shard-table.js';
+import type {ShardMap, TrackedShard} from './shard-table.js';
 
 export interface PlanInputOptions {
   readonly map: ShardMap;
@@ -84,7 +84,7 @@
   };
 }
 
-function toPlacedShard(options: PlanInputOptions, slot: Slot): PlacedShard {
+function toPlacedShard(options: PlanInputOptions, slot: TrackedShard): PlacedShard {
   const {shard, movedAt} = slot;
   return {
     shard,
@@ -101,8 +101,8 @@
  * be reached (it may come back before its lease lapses), and while a late
  * order of a former leader may still count at its server.
  */
-function isMovable(options: PlanInputOptions, slot: Slot): boolean {
-  if (slot.busy) return false;
+function isMovable(options: PlanInputOptions, slot: TrackedShard): boolean {
+  if (slot.isChanging) return false;
   if (slot.server === null) return true;
   const task = options.registry.tasks.get(slot.server);
   if (task === undefined || task.health() !== 'ok') return false;
--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -8,7 +8,7 @@
 import type {ShardLocator} from './shard-locator.js';
 import {
   type ShardMap,
-  type Slot,
+  type TrackedShard,
   type TableRecorder,
   hotKeyOf,
 } from './shard-table.js';
@@ -30,13 +30,13 @@
   /** Resolves when shards may be granted. */
   run(): Promise<void>;
   /** Takes note of what a server held when it was first asked. */
-  noteReport(task: LeaseTask, shards: readonly ShardId[]): void;
+  recordReport(task: LeaseTask, shards: readonly ShardId[]): void;
   /** Whether the cell's table is known by now. */
-  knowsTable(): boolean;
+  isTableKnown(): boolean;
   /** Where the servers are that the table's entries are about. */
   addresses(): ReadonlyMap<string, string>;
   /** When every order of a former leader has lapsed; infinite before. */
-  foreignUntil(): number;
+  formerLeaseExpiry(): number;
 }
 
 /**
@@ -51,46 +51,46 @@
 export function createRecovery(options: RecoveryOptions): Recovery {
   const {inheritance, map, registry, recorder, clock, signal} = options;
   const disputed = new Set<ShardId>();
-  let inherited: ReadonlyMap<string, string> = new Map();
-  let asking = false;
-  let knowsTable = false;
-  let foreignUntil = Infinity;
+  let inheritedAddresses: ReadonlyMap<string, string> = new Map();
+  let isQuerying = false;
+  let isTableKnown = false;
+  let formerLeaseExpiry = Infinity;
 
-  const limitForeign = (): void => {
+  const limitFormerLeases = (): void => {
     const {ttlMs, marginMs} = options.timing;
     // The former leader wrote its last order before now, with an echo that
     // it had received before.
     const clearedAt = clock.now();
-    foreignUntil = clearedAt + ttlMs + marginMs;
-    registry.limitForeign({clearedAt, until: foreignUntil});
+    formerLeaseExpiry = clearedAt + ttlMs + marginMs;
+    registry.limitForeign({clearedAt, until: formerLeaseExpiry});
   };
 
   const takeOver = async (table: ShardTable): Promise<void> => {
-    inherited = table.addresses ?? inherited;
+    inheritedAddresses = table.addresses ?? inheritedAddresses;
     for (const entry of table.entries) adoptEntry(entry);
-    knowsTable = true;
+    isTableKnown = true;
     for (const task of registry.tasks.values()) {
-      if (isKnownAt(table, task)) {
+      if (isAtTableAddress(table, task)) {
         task.add(shardsOf(map, task.server.name));
       }
     }
     registry.runChecking();
     options.locator.start();
-    record();
+    replicate();
     await untilAborted(inheritance.cleared, signal);
     if (signal.aborted) return;
-    limitForeign();
+    limitFormerLeases();
     registry.runAll();
   };
 
   /** The new standby should have the table soon, though nothing changes. */
-  const record = (): void => {
-    recorder.touch();
+  const replicate = (): void => {
+    recorder.markChanged();
     void recorder.commit();
   };
 
   const adoptEntry = (entry: ShardEntry): void => {
-    const slot = findSlot(map, entry.shard);
+    const slot = findOrAddShard(map, entry.shard);
     if (slot === null || entry.server === null) return;
     // A shard that was moving is still covered by its old server's lease, or
     // by none: either way the old server may go on with it.
@@ -99,30 +99,30 @@
     slot.reason = 'taken over with the table';
   };
 
-  const ask = async (): Promise<void> => {
+  const queryServers = async (): Promise<void> => {
     await untilAborted(inheritance.cleared, signal);
     if (signal.aborted) return;
-    limitForeign();
-    asking = true;
+    limitFormerLeases();
+    isQuerying = true;
     registry.runAll();
     // A server that isn't reached, or is gone from the inventory, may hold a
     // shard or a hot key that no other one knows of. Only time rules it out.
-    await sleep(clock, foreignUntil - clock.now(), signal);
-    asking = false;
+    await sleep(clock, formerLeaseExpiry - clock.now(), signal);
+    isQuerying = false;
     if (signal.aborted) return;
-    dropDisputed();
-    knowsTable = true;
-    record();
+    removeDisputedHotKeys();
+    isTableKnown = true;
+    replicate();
     options.locator.start();
   };
 
-  const noteReport = (task: LeaseTask, shards: readonly ShardId[]): void => {
-    if (!asking) return;
-    for (const shard of shards) noteShard(task, shard);
+  const recordReport = (task: LeaseTask, shards: readonly ShardId[]): void => {
+    if (!isQuerying) return;
+    for (const shard of shards) recordShard(task, shard);
   };
 
-  const noteShard = (task: LeaseTask, shard: ShardId): void => {
-    const slot = findSlot(map, shard);
+  const recordShard = (task: LeaseTask, shard: ShardId): void => {
+    const slot = findOrAddShard(map, shard);
     if (slot === null || disputed.has(shard)) return;
     const {name} = task.server;
     if (slot.server === null) {
@@ -140,25 +140,25 @@
     slot.reason = 'two servers reported it';
   };
 
-  const dropDisputed = (): void => {
+  const removeDisputedHotKeys = (): void => {
     for (const shard of disputed) {
       const key = hotKeyOf(shard);
-      if (key !== null) map.removeHot(key);
+      if (key !== null) map.removeHotKey(key);
     }
   };
 
   return {
     run: () =>
-      inheritance.table === null ? ask() : takeOver(inheritance.table),
-    noteReport,
-    knowsTable: () => knowsTable,
+      inheritance.table === null ? queryServers() : takeOver(inheritance.table),
+    recordReport: recordReport,
+    isTableKnown: () => isTableKnown,
     // Until older leases have lapsed, entries may be about the old addresses.
     addresses: () =>
       new Map([
         ...registry.addresses(),
-        ...(clock.now() < foreignUntil ? inherited : []),
+        ...(clock.now() < formerLeaseExpiry ? inheritedAddresses : []),
       ]),
-    foreignUntil: () => foreignUntil,
+    formerLeaseExpiry: () => formerLeaseExpiry,
   };
 }
 
@@ -169,19 +169,19 @@
  * ordering the shards at the new address would give them two owners. They
  * wait until every older lease has lapsed.
  */
-function isKnownAt(table: ShardTable, task: LeaseTask): boolean {
+function isAtTableAddress(table: ShardTable, task: LeaseTask): boolean {
   const {name, address} = task.server;
   const known = table.addresses?.get(name);
   return known === undefined || known === address;
 }
 
-function findSlot(map: ShardMap, shard: ShardId): Slot | null {
+function findOrAddShard(map: ShardMap, shard: ShardId): TrackedShard | null {
   const known = map.get(shard);
   if (known !== undefined) return known;
   const key = hotKeyOf(shard);
-  if (key === null || map.rangeOf(key) === null) return null;
-  const slot = map.addHot(key);
-  map.expose(key);
+  if (key === null || map.findRange(key) === null) return null;
+  const slot = map.addHotKey(key);
+  map.activateHotKey(key);
   return slot;
 }
 
--- a/packages/ownership/src/shard-locator.ts
+++ b/packages/ownership/src/shard-locator.ts
@@ -9,20 +9,20 @@
 } from './led-cell.js';
 import type {Grant} from './lease-grant.js';
 import type {LeaseTask} from './lease-task.js';
-import {type ShardMap, type Slot, createSettled} from './shard-table.js';
+import {type ShardMap, type TrackedShard, createDeferred} from './shard-table.js';
 
 /** Tells where keys are, and those who wait when that is settled. */
 export interface ShardLocator {
   locate(key: string): Location;
-  isServable(slot: Slot): boolean;
+  isServable(slot: TrackedShard): boolean;
   /** Stops dispatch; resolves when no request of the shard is in flight. */
-  pause(slot: Slot, wait: GateWait): Promise<void>;
+  pause(slot: TrackedShard, wait: GateWait): Promise<void>;
   /** Ends a pause; requests go once the shard's server has its lease. */
-  resume(slot: Slot): void;
+  resume(slot: TrackedShard): void;
   /** Ends a pause for good: its requests look for their key elsewhere. */
-  dissolve(slot: Slot): void;
+  retire(slot: TrackedShard): void;
   /** Lets those go whose shard can be served now, or by nobody. */
-  settle(): void;
+  resumeSettled(): void;
   /** From now on locations are given out. */
   start(): void;
   /** Lets everybody go; no location is given out any more. */
@@ -52,8 +52,8 @@
 export function createShardLocator(options: ShardLocatorOptions): ShardLocator {
   const {cell, map, tasks, gate, clock} = options;
   /** Slots that somebody waits for, or whose gate is closed. */
-  const unsettled = new Set<Slot>();
-  const closed = new Set<Slot>();
+  const unsettled = new Set<TrackedShard>();
+  const closedGates = new Set<TrackedShard>();
   let phase: Phase = 'recovering';
 
   const locate = (key: string): Location => {
@@ -66,7 +66,7 @@
     if (
       task !== undefined &&
       grant !== null &&
-      !slot.paused &&
+      !slot.isPaused &&
       grant.shards.has(slot.shard) &&
       clock.now() < grant.leaseEnd
     ) {
@@ -81,7 +81,7 @@
         toServerTime: grant.toServerTime,
       };
     }
-    if (slot.stuck) return unowned(slot.shard, slot.reason);
+    if (slot.isUnplaceable) return unowned(slot.shard, slot.reason);
     return moving(slot);
   };
 
@@ -96,18 +96,18 @@
     return isSameRun ? task.mayHoldUntil(shard) : -Infinity;
   };
 
-  const moving = (slot: Slot): Moving => {
-    slot.waiting ??= createSettled();
+  const moving = (slot: TrackedShard): Moving => {
+    slot.settled ??= createDeferred();
     unsettled.add(slot);
     return {
       kind: 'moving',
       shard: slot.shard,
-      settled: slot.waiting.promise,
+      settled: slot.settled.promise,
     };
   };
 
-  const isServable = (slot: Slot): boolean => {
-    if (phase !== 'leading' || slot.paused || slot.server === null) {
+  const isServable = (slot: TrackedShard): boolean => {
+    if (phase !== 'leading' || slot.isPaused || slot.server === null) {
       return false;
     }
     const grant = tasks.get(slot.server)?.grant();
@@ -115,33 +115,33 @@
     return clock.now() < grant.leaseEnd;
   };
 
-  const letGo = (slot: Slot): void => {
+  const resumeWaiters = (slot: TrackedShard): void => {
     unsettled.delete(slot);
-    slot.waiting?.resolve();
-    slot.waiting = null;
-    if (closed.delete(slot)) gate.open(cell, slot.shard);
+    slot.settled?.resolve();
+    slot.settled = null;
+    if (closedGates.delete(slot)) gate.open(cell, slot.shard);
   };
 
   return {
     locate,
     isServable,
     pause(slot, wait) {
-      slot.paused = true;
+      slot.isPaused = true;
       unsettled.add(slot);
-      closed.add(slot);
+      closedGates.add(slot);
       return gate.close(cell, slot.shard, wait);
     },
     resume(slot) {
-      slot.paused = false;
-      if (isServable(slot)) letGo(slot);
+      slot.isPaused = false;
+      if (isServable(slot)) resumeWaiters(slot);
     },
-    dissolve(slot) {
-      slot.paused = false;
-      letGo(slot);
+    retire(slot) {
+      slot.isPaused = false;
+      resumeWaiters(slot);
     },
-    settle() {
+    resumeSettled() {
       for (const slot of unsettled) {
-        if (slot.stuck || isServable(slot)) letGo(slot);
+        if (slot.isUnplaceable || isServable(slot)) resumeWaiters(slot);
       }
     },
     start() {
@@ -149,7 +149,7 @@
     },
     stop() {
       phase = 'stopped';
-      for (const slot of [...unsettled]) letGo(slot);
+      for (const slot of [...unsettled]) resumeWaiters(slot);
     },
   };
 }
--- a/packages/ownership/src/shard-table.ts
+++ b/packages/ownership/src/shard-table.ts
@@ -7,29 +7,29 @@
 import type {ShardEntry, ShardState, ShardTable} from './table.js';
 
 /** One shard, as its leader keeps it. */
-export interface Slot {
+export interface TrackedShard {
   readonly shard: ShardId;
   state: ShardState;
   server: string | null;
   next: string | null;
   /** Dispatch is stopped: the shard moves, splits or merges. */
-  paused: boolean;
+  isPaused: boolean;
   /** No server can take it at present. */
-  stuck: boolean;
+  isUnplaceable: boolean;
   /** A handover, grant, split or merge is under way for it. */
-  busy: boolean;
+  isChanging: boolean;
   /** Until then it is not stopped again for a change that can wait. */
-  stayUntil: number;
+  postponedUntil: number;
   /** Monotonic time of its last move. */
   movedAt: number;
   /** For operators: why it is where it is. */
   reason: string;
   /** Whoever waits until the shard can be served; null where nobody does. */
-  waiting: Settled | null;
+  settled: Deferred | null;
 }
 
 /** A promise that somebody else resolves. */
-export interface Settled {
+export interface Deferred {
   readonly promise: Promise<void>;
   readonly resolve: () => void;
 }
@@ -45,21 +45,21 @@
 /** The cell's shards: its hash ranges and its hot keys. */
 export interface ShardMap {
   /** The slot of a key, or null where the key is another cell's. */
-  find(key: string): Slot | null;
-  get(shard: ShardId): Slot | undefined;
+  find(key: string): TrackedShard | null;
+  get(shard: ShardId): TrackedShard | undefined;
   /** The hash range that a key falls into, hot or not. */
-  rangeOf(key: string): Slot | null;
-  all(): Iterable<Slot>;
+  findRange(key: string): TrackedShard | null;
+  all(): Iterable<TrackedShard>;
   size(): number;
   /** Hot keys that are shards of their own, with those that will be. */
   hotKeys(): Iterable<string>;
   /** Adds a hot key's slot; `find` yields it only after `expose`. */
-  addHot(key: string): Slot;
-  expose(key: string): void;
+  addHotKey(key: string): TrackedShard;
+  activateHotKey(key: string): void;
   /** From now on `find` yields the key's hash range again. */
-  conceal(key: string): void;
+  deactivateHotKey(key: string): void;
   /** Forgets a hot key's slot. */
-  removeHot(key: string): void;
+  removeHotKey(key: string): void;
 }
 
 const HOT_PREFIX = 'k:';
@@ -88,41 +88,41 @@
   const {shards, cells, index} = options;
   const first = Math.ceil((index * shards) / cells);
   const end = Math.ceil(((index + 1) * shards) / cells);
-  const ranges: Slot[] = [];
+  const ranges: TrackedShard[] = [];
   for (let range = first; range < end; range++) {
-    ranges.push(createSlot(String(range)));
+    ranges.push(createTrackedShard(String(range)));
   }
-  const hot = new Map<string, Slot>();
-  const known = new Map<string, Slot>();
+  const activeHotShards = new Map<string, TrackedShard>();
+  const hotShards = new Map<string, TrackedShard>();
   const byId = new Map(ranges.map(slot => [slot.shard, slot]));
 
-  const rangeSlot = (key: string): Slot | null =>
+  const findRange = (key: string): TrackedShard | null =>
     ranges[rangeOf(key, shards) - first] ?? null;
 
   return {
     find(key) {
-      const slot = hot.size === 0 ? undefined : hot.get(key);
-      return slot ?? rangeSlot(key);
+      const slot = activeHotShards.size === 0 ? undefined : activeHotShards.get(key);
+      return slot ?? findRange(key);
     },
     get: shard => byId.get(shard),
-    rangeOf: rangeSlot,
+    findRange: findRange,
     all: () => byId.values(),
     size: () => byId.size,
-    hotKeys: () => known.keys(),
-    addHot(key) {
-      const slot = createSlot(hotShardOf(key));
+    hotKeys: () => hotShards.keys(),
+    addHotKey(key) {
+      const slot = createTrackedShard(hotShardOf(key));
       byId.set(slot.shard, slot);
-      known.set(key, slot);
+      hotShards.set(key, slot);
       return slot;
     },
-    expose(key) {
-      const slot = known.get(key);
-      if (slot !== undefined) hot.set(key, slot);
+    activateHotKey(key) {
+      const slot = hotShards.get(key);
+      if (slot !== undefined) activeHotShards.set(key, slot);
     },
-    conceal: key => void hot.delete(key),
-    removeHot(key) {
-      hot.delete(key);
-      known.delete(key);
+    deactivateHotKey: key => void activeHotShards.delete(key),
+    removeHotKey(key) {
+      activeHotShards.delete(key);
+      hotShards.delete(key);
       byId.delete(hotShardOf(key));
     },
   };
@@ -131,7 +131,7 @@
 /** Puts each change of the table at the standby before it is carried out. */
 export interface TableRecorder {
   /** Notes that the table changed. */
-  touch(): void;
+  markChanged(): void;
   /**
    * Resolves to true once every change made so far is recorded; repeats what
    * fails. False only when the signal aborts.
@@ -152,7 +152,7 @@
   readonly version: number;
 }
 
-const RECORD_RETRY_MS = 50;
+const RECORD_RETRY_DELAY_MS = 50;
 
 /**
  * Makes the recorder of one cell's table. Changes made while one record is
@@ -189,7 +189,7 @@
       recorded = Math.max(recorded, table.version);
       return;
     }
-    await sleep(clock, RECORD_RETRY_MS, signal);
+    await sleep(clock, RECORD_RETRY_DELAY_MS, signal);
   };
 
   const commit = async (): Promise<boolean> => {
@@ -205,7 +205,7 @@
   };
 
   return {
-    touch() {
+    markChanged() {
       version++;
     },
     commit,
@@ -214,7 +214,7 @@
 }
 
 /** Makes a promise that somebody else resolves. */
-export function createSettled(): Settled {
+export function createDeferred(): Deferred {
   let resolve: () => void = () => {};
   const promise = new Promise<void>(done => {
     resolve = done;
@@ -222,23 +222,23 @@
   return {promise, resolve};
 }
 
-function createSlot(shard: ShardId): Slot {
+function createTrackedShard(shard: ShardId): TrackedShard {
   return {
     shard,
     state: 'free',
     server: null,
     next: null,
-    paused: false,
-    stuck: false,
-    busy: false,
-    stayUntil: -Infinity,
+    isPaused: false,
+    isUnplaceable: false,
+    isChanging: false,
+    postponedUntil: -Infinity,
     movedAt: -Infinity,
     reason: 'not placed yet',
-    waiting: null,
+    settled: null,
   };
 }
 
-function toEntry(slot: Slot): ShardEntry {
+function toEntry(slot: TrackedShard): ShardEntry {
   const {shard, state, server, next} = slot;
   return {shard, state, server, next};
 }
--- a/packages/ownership/test/cell-leader.test.ts
+++ b/packages/ownership/test/cell-leader.test.ts
@@ -30,7 +30,7 @@
     t.equal(owners.size, SHARDS);
     for (const name of ['a', 'b', 'c']) {
       t.equal(led.shardsOf(name).length, SHARDS / 3);
-      const belief = fixture.fakes.get(name).belief('holds/0');
+      const belief = fixture.fakes.get(name).activeLease('holds/0');
       t.same(
         [...(belief?.shards ?? [])].sort(),
         [...led.shardsOf(name)].sort(),
@@ -143,7 +143,7 @@
   await fixture.advance(120_000);
   t.equal(led.owners().size, SHARDS);
   t.not(led.leader.led.locate(key).shard, `k:${key}`);
-  for (const {name, belief} of fixture.fakes.servers.values()) {
+  for (const {name, activeLease: belief} of fixture.fakes.servers.values()) {
     t.notOk(belief('holds/0')?.shards.includes(`k:${key}`), name);
   }
   t.same([...fixture.violations], []);
@@ -176,7 +176,7 @@
     fixture.drains.add('a');
     await fixture.advance(4500);
     t.equal(led.gateClosed.size, SHARDS, 'no new work for any');
-    const held = fixture.fakes.get('a').belief('holds/0')?.shards;
+    const held = fixture.fakes.get('a').activeLease('holds/0')?.shards;
     t.equal(held?.length, SHARDS, 'none has been taken');
     await fixture.advance(15_000);
     t.same(led.shardsOf('a'), []);
--- a/packages/ownership/test/chains.test.ts
+++ b/packages/ownership/test/chains.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {LOG} from './support/fake-log.js';
-import {createScene, isolate, viewOf} from './support/scene.js';
+import {createCellHarness, isolate, viewOf} from './support/scene.js';
 
 const HOSTS = ['a', 'b', 'c', 'd', 'e'];
 
@@ -10,7 +10,7 @@
 // takes over, without a reason to ask the old standby. Callers on both sides
 // would be served, were the old consent still counted.
 void tap.test('a lost reply to the claim of a new standby', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
+  const {cluster: world, leader, standby} = await createCellHarness(HOSTS);
   world.router(standby).process.pause();
   let claims = 0;
   world.faults.onAppend = () => {
@@ -18,11 +18,11 @@
     isolate(world, [leader, standby]);
     world.router(standby).process.resume();
   };
-  await world.until(() => claims > 0, 3000);
+  await world.waitUntil(() => claims > 0, 3000);
   t.equal(claims, 1, 'the claim is in the log');
   await world.clock.advance(8000);
   t.strictSame(world.violations, []);
-  const {host} = world.acting() ?? {host: 'nobody'};
+  const {host} = world.activeLeader() ?? {host: 'nobody'};
   t.ok(![leader, standby, 'nobody'].includes(host), `${host} took over`);
 });
 
@@ -31,25 +31,25 @@
 // it has cleared. Its standby must not take only the claimant for its
 // predecessor: the first pair still acts.
 void tap.test('a claimant lost before it cleared', async t => {
-  const scene = await createScene(HOSTS, {checksFences: true});
-  const {world, leader, standby} = scene;
+  const scene = await createCellHarness(HOSTS, {checksFences: true});
+  const {cluster: world, leader, standby} = scene;
   isolate(world, [leader, standby]);
-  const claimed = await world.until(() => world.holders.length > 1, 8000);
+  const claimed = await world.waitUntil(() => world.leaders.length > 1, 8000);
   t.ok(claimed > 0, 'a third router claims');
-  const third = world.holders.at(-1);
+  const third = world.leaders.at(-1);
   t.notOk(third?.isCleared(), 'and is not cleared');
   await world.clock.advance(3000);
   third?.process.kill();
-  await world.until(() => world.holders.length > 2, 8000);
+  await world.waitUntil(() => world.leaders.length > 2, 8000);
   await world.clock.advance(6000);
-  t.equal(world.acting()?.host, leader, 'the first pair goes on');
-  const last = world.holders.at(-1);
+  t.equal(world.activeLeader()?.host, leader, 'the first pair goes on');
+  const last = world.leaders.at(-1);
   t.not(last?.host, third?.host);
   t.notOk(last?.isCleared(), 'so the second claimant may not move anything');
   // As soon as the pair hears of the later view, the way is clear.
   world.network.heal();
   await world.clock.advance(5000);
-  t.equal(world.acting()?.host, last?.host);
+  t.equal(world.activeLeader()?.host, last?.host);
   t.strictSame(world.violations, []);
   const unsettled = viewOf(world)?.unsettled ?? [];
   t.strictSame(unsettled, [], 'and the log says that the pairs are over');
@@ -60,19 +60,19 @@
 // up to T more. The new leader is stopped as planned at once: it must tell
 // its own standby that it was not cleared, or that one acts beside the first.
 void tap.test('a leader that resigns before it was cleared', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
+  const {cluster: world, leader, standby} = await createCellHarness(HOSTS);
   world.router(leader).process.pause();
   world.faults.appendDelay = () => 300;
   world.faults.onAppend = () => void isolate(world, [leader]);
-  await world.until(() => world.withdrawals(standby) > 0, 3000);
+  await world.waitUntil(() => world.withdrawals(standby) > 0, 3000);
   world.router(leader).process.resume();
-  await world.until(() => world.holders.length > 1, 3000);
+  await world.waitUntil(() => world.leaders.length > 1, 3000);
   world.faults.appendDelay = () => 0;
-  t.ok(world.holders[0]?.mayAct(), 'the first leader may still act');
+  t.ok(world.leaders[0]?.mayAct(), 'the first leader may still act');
   void world.router(standby).ownership.stop();
   await world.clock.advance(3000);
   t.strictSame(world.violations, []);
-  const {host} = world.acting() ?? {host: 'nobody'};
+  const {host} = world.activeLeader() ?? {host: 'nobody'};
   t.ok(![leader, standby, 'nobody'].includes(host), `${host} took over`);
 });
 
@@ -81,7 +81,7 @@
 // with the old leader, and doesn't know. Its own standby takes over from it
 // and never asks about the old leader, which must get no consent any more.
 void tap.test('a standby cut off after its claim was appended', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
+  const {cluster: world, leader, standby} = await createCellHarness(HOSTS);
   // Long enough that the leader has no claim of its own under way.
   world.network.cut(LOG, leader);
   await world.clock.advance(6000);
@@ -93,11 +93,11 @@
     world.network.heal();
     isolate(world, [leader, standby]);
   };
-  await world.until(() => claims > 0, 3000);
+  await world.waitUntil(() => claims > 0, 3000);
   t.equal(world.withdrawals(standby), 1, 'the standby withdrew and claimed');
   await world.clock.advance(8000);
   t.strictSame(world.violations, []);
-  const {host} = world.acting() ?? {host: 'nobody'};
+  const {host} = world.activeLeader() ?? {host: 'nobody'};
   t.ok(![leader, standby, 'nobody'].includes(host), `${host} took over`);
 });
 
@@ -106,7 +106,7 @@
 // leader and its standby hear of each other again, but of nobody else, the
 // standby must keep its word.
 void tap.test('a standby that withdrew for another router', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
+  const {cluster: world, leader, standby} = await createCellHarness(HOSTS);
   world.network.cut(LOG, leader);
   await world.clock.advance(6000);
   world.network.cut(LOG, standby);
@@ -117,11 +117,11 @@
     world.network.heal();
     isolate(world, [leader, standby]);
   };
-  const took = await world.until(() => claims > 0, 8000);
+  const took = await world.waitUntil(() => claims > 0, 8000);
   t.ok(took > 0, `another router claims after ${took} ms`);
   await world.clock.advance(5000);
   t.strictSame(world.violations, []);
-  const {host} = world.acting() ?? {host: 'nobody'};
+  const {host} = world.activeLeader() ?? {host: 'nobody'};
   t.ok(![leader, standby, 'nobody'].includes(host), `${host} took over`);
 });
 
@@ -129,13 +129,13 @@
 // leader is lost. Its servers would have to be asked what they hold, and the
 // silent ones waited for, had the new standby no table of its epoch.
 void tap.test('a new standby gets the table without a change', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
+  const {cluster: world, leader, standby} = await createCellHarness(HOSTS);
   world.router(standby).process.kill();
   await world.clock.advance(3000);
-  t.equal(world.acting()?.host, leader);
+  t.equal(world.activeLeader()?.host, leader);
   world.router(leader).process.kill();
-  await world.until(() => world.acting() !== null, 5000);
-  t.ok(world.holders.at(-1)?.inherited, 'the successor has the table');
+  await world.waitUntil(() => world.activeLeader() !== null, 5000);
+  t.ok(world.leaders.at(-1)?.inherited, 'the successor has the table');
   t.strictSame(world.violations, []);
 });
 
@@ -146,11 +146,11 @@
 for (const loss of ['its standby first', 'its standby as well'] as const) {
   void tap.test(`a claimant lost before it cleared, ${loss}`, async t => {
     const hosts = [...HOSTS, 'f'];
-    const scene = await createScene(hosts, {checksFences: true});
-    const {world, leader, standby} = scene;
+    const scene = await createCellHarness(hosts, {checksFences: true});
+    const {cluster: world, leader, standby} = scene;
     isolate(world, [leader, standby]);
-    await world.until(() => world.holders.length > 1, 8000);
-    const claimant = world.holders.at(-1)?.host ?? '';
+    await world.waitUntil(() => world.leaders.length > 1, 8000);
+    const claimant = world.leaders.at(-1)?.host ?? '';
     const second = viewOf(world)?.standby?.host ?? '';
     world.router(second).process.kill();
     if (loss === 'its standby first') await world.clock.advance(4000);
@@ -160,10 +160,10 @@
       world.start(claimant);
       world.start(second);
     }
-    await world.until(() => world.holders.length > 2, 8000);
+    await world.waitUntil(() => world.leaders.length > 2, 8000);
     await world.clock.advance(5000);
-    t.equal(world.acting()?.host, leader, 'the first pair goes on');
-    t.ok(world.holders.length > 2, 'another router has claimed');
+    t.equal(world.activeLeader()?.host, leader, 'the first pair goes on');
+    t.ok(world.leaders.length > 2, 'another router has claimed');
     t.strictSame(world.violations, []);
   });
 }
@@ -175,18 +175,18 @@
 void tap.test('clocks that drift apart', async t => {
   for (let delay = 300; delay < 400; delay += 8) {
     const rates = {rates: [0.995, 0.995, 0.995, 0.995, 0.995]};
-    const {world, leader, standby} = await createScene(HOSTS, rates);
+    const {cluster: world, leader, standby} = await createCellHarness(HOSTS, rates);
     world.network.latency = () => 0;
     world.router(leader).process.pause();
     world.router(standby).process.setRate(1.0045);
     world.faults.appendDelay = () => delay;
     world.faults.onAppend = () => void isolate(world, [leader]);
-    await world.until(() => world.withdrawals(standby) > 0, 3000);
+    await world.waitUntil(() => world.withdrawals(standby) > 0, 3000);
     world.router(leader).process.resume();
-    await world.until(() => world.holders.length > 1, 3000);
-    t.ok(world.holders[0]?.mayAct(), 'the old leader may still act');
+    await world.waitUntil(() => world.leaders.length > 1, 3000);
+    t.ok(world.leaders[0]?.mayAct(), 'the old leader may still act');
     await world.clock.advance(2000);
-    t.equal(world.acting()?.host, standby);
+    t.equal(world.activeLeader()?.host, standby);
     t.strictSame(world.violations, [], `append after ${delay} ms`);
   }
 });
--- a/packages/ownership/test/fake-servers.ts
+++ b/packages/ownership/test/fake-servers.ts
@@ -19,7 +19,7 @@
 import type {ManualClock} from '@banyandrum/standins/manual-clock.js';
 
 /** What happens to one order on its way. */
-export interface OrderFate {
+export interface OrderFaults {
   /** Never arrives. */
   readonly lost?: boolean;
   /** Arrives this much later than usual, in ms. */
@@ -27,11 +27,11 @@
   /** Is obeyed, but its answer never arrives. */
   readonly ackLost?: boolean;
   /** A second copy arrives this much after the first, in ms. */
-  readonly copyAfterMs?: number;
+  readonly duplicateAfterMs?: number;
 }
 
 /** A lease that a simulated server believes in. */
-export interface Belief {
+export interface ServerLease {
   readonly fence: Fence;
   readonly shards: readonly ShardId[];
   /** On the server's own clock. */
@@ -46,15 +46,15 @@
   /** Takes orders in, and obeys them only once it is thawed. */
   frozen: boolean;
   health: ServerHealth;
-  fate: (order: LeaseOrder) => OrderFate;
+  faultsFor: (order: LeaseOrder) => OrderFaults;
   /** Orders that were obeyed, in turn. */
-  readonly obeyed: LeaseOrder[];
+  readonly applied: LeaseOrder[];
   /** Ends the run and starts another, which holds nothing. */
   restart(): void;
   /** Goes on with what came while it was frozen. */
   thaw(): void;
   stamp(): Stamp;
-  belief(cell: CellId): Belief | null;
+  activeLease(cell: CellId): ServerLease | null;
   /**
    * The latest end, on its own clock, of a lease of the shard that this run
    * obeyed. A late order may have ended its belief earlier.
@@ -74,21 +74,21 @@
   readonly clock: ManualClock;
   readonly checksFences: boolean;
   /** Each server's clock against the test's; 1 by default. */
-  readonly paceOf?: ((name: string) => number) | undefined;
+  readonly clockRateOf?: ((name: string) => number) | undefined;
   /** Called each time a server has obeyed an order. */
-  readonly onObeyed: (server: FakeServer) => void;
+  readonly onApplied: (server: FakeServer) => void;
 }
 
 type Answer = Result<LeaseAck, ServerError>;
-type Arrive = (order: LeaseOrder) => Promise<Answer>;
+type Receive = (order: LeaseOrder) => Promise<Answer>;
 
 const LATENCY_MS = 1;
 
 /** Makes the simulated servers of one service. */
 export function createFakeServers(options: FakeServersOptions): FakeServers {
-  const {clock, paceOf = () => 1} = options;
+  const {clock, clockRateOf: paceOf = () => 1} = options;
   const servers = new Map<string, FakeServer>();
-  const arrivals = new Map<string, Arrive>();
+  const receivers = new Map<string, Receive>();
 
   const get = (name: string): FakeServer => {
     const server = servers.get(name);
@@ -99,14 +99,14 @@
   const add = (name: string): void => {
     const start = 1000 * servers.size;
     const time = (): number => start + clock.now() * paceOf(name);
-    const {server, arrive} = createServer(name, options, time);
+    const {server, receive: arrive} = createServer(name, options, time);
     servers.set(name, server);
-    arrivals.set(name, arrive);
+    receivers.set(name, arrive);
   };
 
-  const carry = (name: string, message: LeaseOrder): Promise<Answer> => {
-    const {lost, delayMs = 0, ackLost, copyAfterMs} = get(name).fate(message);
-    const arrive = arrivals.get(name);
+  const deliver = (name: string, message: LeaseOrder): Promise<Answer> => {
+    const {lost, delayMs = 0, ackLost, duplicateAfterMs: copyAfterMs} = get(name).faultsFor(message);
+    const arrive = receivers.get(name);
     return new Promise(resolve => {
       if (lost || arrive === undefined) return;
       clock.after(delayMs, () => {
@@ -128,7 +128,7 @@
         if (signal?.aborted) giveUp();
         signal?.addEventListener('abort', giveUp);
       });
-      return Promise.race([carry(ref.name, message), aborted]);
+      return Promise.race([deliver(ref.name, message), aborted]);
     },
     async load(ref) {
       const {down, frozen, health} = get(ref.name);
@@ -146,7 +146,7 @@
 
 interface Simulation {
   readonly server: FakeServer;
-  readonly arrive: Arrive;
+  readonly receive: Receive;
 }
 
 function createServer(
@@ -155,18 +155,18 @@
   time: () => number,
 ): Simulation {
   const {checksFences} = options;
-  let run = 1;
-  let leases = new Map<CellId, Belief>();
-  let thawed: (() => void)[] = [];
+  let instance = 1;
+  let leases = new Map<CellId, ServerLease>();
+  let untilThawed: (() => void)[] = [];
 
-  const stamp = (): Stamp => ({boot: `${name}-${run}`, ms: time()});
+  const stamp = (): Stamp => ({boot: `${name}-${instance}`, ms: time()});
 
-  const belief = (cell: CellId): Belief | null => {
+  const activeLease = (cell: CellId): ServerLease | null => {
     const lease = leases.get(cell);
     return lease !== undefined && time() < lease.endsAt ? lease : null;
   };
 
-  const obey = (order: LeaseOrder): Answer => {
+  const apply = (order: LeaseOrder): Answer => {
     const {cell, fence, shards, echo} = order;
     const known = leases.get(cell)?.fence;
     if (echo === null) return report(cell);
@@ -177,13 +177,13 @@
     const isOver = echo.boot !== stamp().boot || endsAt <= time();
     if (isOver) return report(cell);
     leases.set(cell, {fence, shards, endsAt});
-    server.obeyed.push(order);
-    options.onObeyed(server);
+    server.applied.push(order);
+    options.onApplied(server);
     return report(cell);
   };
 
   const report = (cell: CellId): Answer => {
-    const lease = belief(cell);
+    const lease = activeLease(cell);
     const known = checksFences ? (leases.get(cell) ?? null) : lease;
     return Ok({
       stamp: stamp(),
@@ -197,41 +197,41 @@
     down: false,
     frozen: false,
     health: 'ok',
-    fate: () => ({}),
-    obeyed: [],
+    faultsFor: () => ({}),
+    applied: [],
     restart() {
       server.down = false;
       server.frozen = false;
-      thawed = [];
-      run++;
+      untilThawed = [];
+      instance++;
       leases = new Map();
     },
     thaw() {
       server.frozen = false;
-      const waiting = thawed;
-      thawed = [];
+      const waiting = untilThawed;
+      untilThawed = [];
       for (const go of waiting) go();
     },
     stamp,
-    belief,
+    activeLease: activeLease,
     grantedUntil: (cell, shard) =>
       Math.max(
         -Infinity,
-        ...server.obeyed
+        ...server.applied
           .filter(({echo}) => echo?.boot === stamp().boot)
           .filter(order => order.cell === cell && order.shards.includes(shard))
           .map(({echo, ttlMs}) => (echo?.ms ?? -Infinity) + ttlMs),
       ),
   };
 
-  const arrive: Arrive = async order => {
-    const target = run;
-    if (server.frozen) await new Promise<void>(go => thawed.push(go));
-    if (target !== run || server.down) return fail('unknown');
-    return obey(order);
+  const arrive: Receive = async order => {
+    const target = instance;
+    if (server.frozen) await new Promise<void>(go => untilThawed.push(go));
+    if (target !== instance || server.down) return fail('unknown');
+    return apply(order);
   };
 
-  return {server, arrive};
+  return {server, receive: arrive};
 }
 
 function fail(kind: 'unreachable' | 'unknown'): Result<never, ServerError> {
--- a/packages/ownership/test/lease-faults.test.ts
+++ b/packages/ownership/test/lease-faults.test.ts
@@ -53,7 +53,7 @@
   for (const checksFences of KINDS) {
     const {fixture, led, key} = await start(checksFences);
     const before = led.owners();
-    fixture.fakes.get('a').fate = () => ({lost: true});
+    fixture.fakes.get('a').faultsFor = () => ({lost: true});
     await until({fixture}, () => led.where(key) !== 'a');
     t.equal(led.where(key), 'moving');
     const took = await until({fixture}, () => led.owners().size === SHARDS);
@@ -78,9 +78,9 @@
     const owner = led.where(key);
     t.not(owner, 'a');
     t.not(owner, 'moving');
-    const obeyed = server.obeyed.length;
+    const obeyed = server.applied.length;
     server.thaw();
-    t.equal(server.obeyed.length, obeyed, 'nothing late is obeyed');
+    t.equal(server.applied.length, obeyed, 'nothing late is obeyed');
     await fixture.advance(3000);
     t.equal(led.where(key), owner);
     await finish(t, fixture, led);
@@ -94,12 +94,12 @@
     const {fixture, led, key} = await start(checksFences);
     const before = led.owners();
     const server = fixture.fakes.get('a');
-    server.fate = () => ({lost: true});
+    server.faultsFor = () => ({lost: true});
     for (let waited = 0; waited < 900; waited += 20) {
       await fixture.advance(20);
       t.equal(led.where(key), 'a');
     }
-    server.fate = () => ({});
+    server.faultsFor = () => ({});
     await fixture.advance(3000);
     t.same(led.owners(), before);
     await finish(t, fixture, led);
@@ -117,7 +117,7 @@
     server.restart();
     const took = await until(
       {fixture},
-      () => server.belief(CELL)?.shards.length === SHARDS / 3,
+      () => server.activeLease(CELL)?.shards.length === SHARDS / 3,
     );
     t.ok(took <= 600, `${took} ms`);
     t.same(led.owners(), before);
@@ -144,7 +144,7 @@
       const {fixture, led} = await start(checksFences);
       let faults = 0;
       const server = fixture.fakes.get('a');
-      server.fate = order => {
+      server.faultsFor = order => {
         if (order.shards.length === SHARDS / 3 || faults > 0) return {};
         faults++;
         return fate;
@@ -169,7 +169,7 @@
     const {fixture, led, key} = await start(checksFences);
     const server = fixture.fakes.get('a');
     let delayed = 0;
-    server.fate = () => (delayed++ === 0 ? {delayMs: 900} : {});
+    server.faultsFor = () => (delayed++ === 0 ? {delayMs: 900} : {});
     await until({fixture}, () => delayed > 0);
     fixture.drains.add('a');
     const since = fixture.clock.now();
@@ -178,7 +178,7 @@
     const took = fixture.clock.now() - since;
     if (checksFences) t.ok(took < 900, `at once: ${took} ms`);
     else t.ok(took > 1000, `only after the late order: ${took} ms`);
-    const late = server.obeyed.filter(order => order.shards.length > 0);
+    const late = server.applied.filter(order => order.shards.length > 0);
     t.ok(late.length > 0);
     await finish(t, fixture, led);
   }
@@ -219,7 +219,7 @@
     let clear: () => void = () => {};
     const cleared = new Promise<void>(resolve => (clear = resolve));
     led.authority.records = false;
-    fixture.fakes.get('a').fate = () => ({lost: true});
+    fixture.fakes.get('a').faultsFor = () => ({lost: true});
     const next = fixture.lead({epoch: 2, table: led.recorded(), cleared});
     await fixture.advance(3000);
     const early = checksFences ? (2 * SHARDS) / 3 : 0;
@@ -248,7 +248,7 @@
     const {fixture, led} = await start(checksFences);
     const server = fixture.fakes.get('a');
     let delayed = 0;
-    server.fate = ({fence}) => {
+    server.faultsFor = ({fence}) => {
       if (fence.epoch > 1) return {};
       delayed++;
       return {delayMs: 1500};
@@ -277,7 +277,7 @@
     const before = led.owners();
     led.process.pause();
     led.authority.until = fixture.clock.now();
-    fixture.fakes.get('c').fate = () => ({lost: true});
+    fixture.fakes.get('c').faultsFor = () => ({lost: true});
     const next = fixture.lead({epoch: 2});
     await fixture.advance(FOREIGN_MS - 100);
     t.equal(next.owners().size, 0);
@@ -300,7 +300,7 @@
   const shards = led.shardsOf('a');
   const [shard = ''] = shards;
   const lie = {
-    ...fixture.fakes.get('b').obeyed[0]!,
+    ...fixture.fakes.get('b').applied[0]!,
     fence: {epoch: 1, sequence: 9},
   };
   await fixture.advance(20);
@@ -315,12 +315,12 @@
   const next = fixture.lead({epoch: 2});
   await fixture.advance(100);
   for (const name of ['a', 'b']) {
-    t.notOk(fixture.fakes.get(name).belief(CELL)?.shards.includes(shard));
+    t.notOk(fixture.fakes.get(name).activeLease(CELL)?.shards.includes(shard));
   }
   t.ok(
     fixture.fakes
       .get('a')
-      .belief(CELL)
+      .activeLease(CELL)
       ?.shards.includes(shards[1] ?? ''),
   );
   await fixture.advance(FOREIGN_MS + 100);
@@ -336,7 +336,7 @@
   const before = led.owners();
   led.authority.records = false;
   fixture.drains.add('a');
-  fixture.fakes.get('b').fate = () => ({lost: true});
+  fixture.fakes.get('b').faultsFor = () => ({lost: true});
   await fixture.advance(5000);
   t.same(led.shardsOf('a').length, SHARDS / 3, 'a keeps its own');
   t.same(led.shardsOf('b'), [], 'those of b wait');
@@ -384,12 +384,12 @@
     fixture.servers = fixture.servers.map(server =>
       server.name === 'a' ? {...server, address: '127.0.0.1:1'} : server,
     );
-    const before = fixture.fakes.get('a').obeyed.length;
+    const before = fixture.fakes.get('a').applied.length;
     const next = fixture.lead({epoch: 2, table});
     await fixture.advance(FOREIGN_MS - 100);
     t.equal(next.where(key), 'moving');
     t.equal(next.recorded()?.addresses?.get('a'), toServer('a').address);
-    for (const order of fixture.fakes.get('a').obeyed.slice(before)) {
+    for (const order of fixture.fakes.get('a').applied.slice(before)) {
       t.same(order.shards, []);
     }
     await fixture.advance(300);
@@ -413,11 +413,11 @@
   const next = fixture.lead({epoch: 2, table: led.recorded(), cleared});
   await fixture.advance(100);
   t.equal(next.where(key), 'a');
-  server.fate = ({fence}) => ({lost: fence.epoch === 2});
+  server.faultsFor = ({fence}) => ({lost: fence.epoch === 2});
   await fixture.advance(600);
   server.restart();
   await fixture.advance(600);
-  const belief = server.belief(CELL);
+  const belief = server.activeLease(CELL);
   t.equal(belief?.fence.epoch, 1, 'the old leader is obeyed');
   t.equal(belief?.shards.length, SHARDS / 3);
   led.authority.until = fixture.clock.now();
@@ -437,7 +437,7 @@
   const {fixture, led} = await start(false);
   led.process.pause();
   led.authority.until = fixture.clock.now();
-  fixture.fakes.get('a').fate = () => ({lost: true});
+  fixture.fakes.get('a').faultsFor = () => ({lost: true});
   const next = fixture.lead({epoch: 2});
   await fixture.advance(500);
   t.equal(await fixture.stop(next), null);
--- a/packages/ownership/test/lease-fixture.ts
+++ b/packages/ownership/test/lease-fixture.ts
@@ -22,7 +22,7 @@
 } from '@banyandrum/ownership/led-cell.js';
 import type {ShardTable} from '@banyandrum/ownership/table.js';
 import {type FakeServers, createFakeServers} from './fake-servers.js';
-import {type Pausable, createPausable} from './pausable.js';
+import {type PausableProcess, createPausableProcess} from './pausable.js';
 import {createOwnershipChecker} from './ownership-checker.js';
 
 export const CELL = 'holds/0';
@@ -67,7 +67,7 @@
 /** One leadership, with what a test can do to it. */
 export interface Led {
   readonly leader: CellLeader;
-  readonly process: Pausable;
+  readonly process: PausableProcess;
   /** When its authority ends, and whether the standby records. */
   readonly authority: {until: number; records: boolean};
   readonly gateClosed: ReadonlySet<ShardId>;
@@ -97,8 +97,8 @@
   const fakes = createFakeServers({
     clock,
     checksFences,
-    paceOf,
-    onObeyed: () => checker.checkBeliefs(fakes),
+    clockRateOf: paceOf,
+    onApplied: () => checker.checkLeases(fakes),
   });
   for (const name of names) fakes.add(name);
   const service: Service = {
@@ -136,7 +136,7 @@
   const lead = (lead: LeadOptions = {}): Led => {
     const authority = {until: Infinity, records: true};
     const gateClosed = new Set<ShardId>();
-    const process = createPausable(clock, fakes.client);
+    const process = createPausableProcess(clock, fakes.client);
     let recorded: ShardTable | null = null;
     const leader = startCellLeader({
       service,
--- a/packages/ownership/test/ownership-checker.ts
+++ b/packages/ownership/test/ownership-checker.ts
@@ -7,7 +7,7 @@
 export interface OwnershipChecker {
   readonly violations: ReadonlySet<string>;
   /** No shard may have two servers that believe they own it. */
-  checkBeliefs(fakes: FakeServers): void;
+  checkLeases(fakes: FakeServers): void;
   /**
    * Wherever a leader would send a key, no other server may own the key under
    * any shard id, and its deadline must end before the server's lease.
@@ -30,7 +30,7 @@
 
   const ownersOf = (fakes: FakeServers, shard: ShardId): readonly string[] =>
     [...fakes.servers.values()]
-      .filter(server => server.belief(cell)?.shards.includes(shard))
+      .filter(server => server.activeLease(cell)?.shards.includes(shard))
       .map(({name}) => name);
 
   const checkKey = (
@@ -62,10 +62,10 @@
 
   return {
     violations,
-    checkBeliefs(fakes) {
+    checkLeases(fakes) {
       const seen = new Map<ShardId, string>();
       for (const server of fakes.servers.values()) {
-        for (const shard of server.belief(cell)?.shards ?? []) {
+        for (const shard of server.activeLease(cell)?.shards ?? []) {
           const other = seen.get(shard);
           if (other !== undefined) {
             violations.add(
--- a/packages/ownership/test/pausable.ts
+++ b/packages/ownership/test/pausable.ts
@@ -2,7 +2,7 @@
 import type {ServerClient} from '@banyandrum/servers/client.js';
 
 /** One process among several in a test: it can be paused and go on. */
-export interface Pausable {
+export interface PausableProcess {
   readonly clock: Clock;
   readonly client: ServerClient;
   pause(): void;
@@ -11,7 +11,7 @@
 }
 
 /** Wraps what a process sees of the world. */
-export function createPausable(clock: Clock, client: ServerClient): Pausable {
+export function createPausableProcess(clock: Clock, client: ServerClient): PausableProcess {
   let paused = false;
   let waiting: (() => void)[] = [];
 
--- a/packages/ownership/test/random-schedule.ts
+++ b/packages/ownership/test/random-schedule.ts
@@ -1,5 +1,5 @@
 /** Random faults and changes, the same ones for the same seed. */
-import type {FakeServer, OrderFate} from './fake-servers.js';
+import type {FakeServer, OrderFaults} from './fake-servers.js';
 import {
   type Fixture,
   type Led,
@@ -20,20 +20,20 @@
 type Random = (below: number) => number;
 
 /** What the actions of a schedule work on. */
-interface Scene {
+interface ScheduleState {
   readonly fixture: Fixture;
   readonly random: Random;
   readonly checksFences: boolean;
-  readonly former: Led[];
+  readonly formerLeaders: Led[];
   led: Led;
   epoch: number;
 }
 
-type Action = (scene: Scene) => void | Promise<void>;
+type Action = (scene: ScheduleState) => void | Promise<void>;
 
 const NAMES = ['a', 'b', 'c', 'd'];
 const HOT_KEYS = ['ward-1', 'ward-2', 'ward-3'];
-const HEAL_MS = 12_000;
+const RECOVERY_MS = 12_000;
 
 /** Runs a schedule of `steps` actions, heals everything, and looks. */
 export async function runSchedule(
@@ -49,11 +49,11 @@
     paceOf: name => paces.get(name) ?? 1,
   });
   const led = fixture.lead();
-  const scene: Scene = {
+  const scene: ScheduleState = {
     fixture,
     random,
     checksFences,
-    former: [],
+    formerLeaders: [],
     led,
     epoch: 1,
   };
@@ -64,7 +64,7 @@
     await fixture.advance(20 * random(30));
   }
   heal(scene);
-  await fixture.advance(HEAL_MS);
+  await fixture.advance(RECOVERY_MS);
   const {shards} = scene.led.leader.describe();
   const result: ScheduleResult = {
     violations: [...fixture.violations],
@@ -72,102 +72,102 @@
     shards: shards.length,
     leaders: scene.epoch,
   };
-  for (const each of [...scene.former, scene.led]) await fixture.stop(each);
+  for (const each of [...scene.formerLeaders, scene.led]) await fixture.stop(each);
   return result;
 }
 
 const ACTIONS: readonly Action[] = [
-  disturbOrders,
-  disturbOrders,
-  freezeOrThaw,
-  freezeOrThaw,
+  setOrderFaults,
+  setOrderFaults,
+  toggleFrozen,
+  toggleFrozen,
   restart,
-  breakOrMend,
-  drainOrNot,
-  drainOrNot,
-  listOrNot,
-  heatUp,
-  heatUp,
-  refuseOrRecord,
+  toggleDown,
+  toggleDrain,
+  toggleDrain,
+  toggleListed,
+  changeHotKeys,
+  changeHotKeys,
+  toggleRecording,
   pauseLeader,
-  cutOff,
+  cutOffNewestLeader,
   takeOver,
-  stopAsPlanned,
+  handOverAsPlanned,
 ];
 
-function pick({fixture, random}: Scene): FakeServer {
+function pickServer({fixture, random}: ScheduleState): FakeServer {
   return fixture.fakes.get(NAMES[random(NAMES.length)] ?? 'a');
 }
 
-function disturbOrders(scene: Scene): void {
+function setOrderFaults(scene: ScheduleState): void {
   const {random, checksFences} = scene;
   const part = random(3) * 20;
-  pick(scene).fate = () =>
-    random(100) < part ? randomFate(random, checksFences) : {};
+  pickServer(scene).faultsFor = () =>
+    random(100) < part ? randomFaults(random, checksFences) : {};
 }
 
 /**
  * A server that doesn't check fences gets a second copy only of an order that
  * it never answered: nothing between it and the leader repeats an answered one.
  */
-function randomFate(random: Random, checksFences: boolean): OrderFate {
+function randomFaults(random: Random, checksFences: boolean): OrderFaults {
   const ackLost = random(3) === 0;
   const copies = checksFences || ackLost;
   return {
     lost: random(4) === 0,
     ackLost,
     delayMs: random(2) === 0 ? random(2500) : 0,
-    ...(copies && random(3) === 0 ? {copyAfterMs: random(2500)} : {}),
+    ...(copies && random(3) === 0 ? {duplicateAfterMs: random(2500)} : {}),
   };
 }
 
 /** One server gets no orders of the newest leader; a former one's go on. */
-function cutOff(scene: Scene): void {
+function cutOffNewestLeader(scene: ScheduleState): void {
   const {epoch} = scene;
-  pick(scene).fate = ({fence}) => ({lost: fence.epoch >= epoch});
+  pickServer(scene).faultsFor = ({fence}) => ({lost: fence.epoch >= epoch});
 }
 
-function freezeOrThaw(scene: Scene): void {
-  const server = pick(scene);
+function toggleFrozen(scene: ScheduleState): void {
+  const server = pickServer(scene);
   if (server.frozen) server.thaw();
   else server.frozen = true;
 }
 
-function restart(scene: Scene): void {
-  pick(scene).restart();
+function restart(scene: ScheduleState): void {
+  pickServer(scene).restart();
 }
 
-function breakOrMend(scene: Scene): void {
-  const server = pick(scene);
+function toggleDown(scene: ScheduleState): void {
+  const server = pickServer(scene);
   server.down = !server.down;
 }
 
-function drainOrNot(scene: Scene): void {
-  const {name} = pick(scene);
+function toggleDrain(scene: ScheduleState): void {
+  const {name} = pickServer(scene);
   const {drains} = scene.fixture;
   if (!drains.delete(name)) drains.add(name);
 }
 
-function listOrNot(scene: Scene): void {
-  const {name} = pick(scene);
+function toggleListed(scene: ScheduleState): void {
+  const {name} = pickServer(scene);
   const {fixture} = scene;
   const rest = fixture.servers.filter(server => server.name !== name);
   const isListed = rest.length < fixture.servers.length;
   fixture.servers = isListed ? rest : [...rest, toServer(name)];
 }
 
-function heatUp({fixture, random}: Scene): void {
+function changeHotKeys({fixture, random}: ScheduleState): void {
   const hot = HOT_KEYS.filter(() => random(2) === 0);
   fixture.load = createLoad(
     hot.map(key => ({key, rate: 50, busy: 1 + random(3)})),
   );
 }
 
-function refuseOrRecord({led}: Scene): void {
+function toggleRecording({led}: ScheduleState): void {
   led.authority.records = !led.authority.records;
 }
 
-async function pauseLeader({fixture, led, random}: Scene): Promise<void> {
+async function pauseLeader({fixture, led, random}: ScheduleState): Promise<void> {
   led.process.pause();
   led.authority.until = fixture.clock.now() + 1000;
   await fixture.advance(20 * random(150));
@@ -176,40 +176,40 @@
 }
 
 /** The old leader goes on, perhaps paused, until its authority ends. */
-function takeOver(scene: Scene): void {
+function takeOver(scene: ScheduleState): void {
   const {fixture, random, led} = scene;
   const table = random(3) === 0 ? null : led.recorded();
   const left = random(1000);
   led.authority.records = false;
   led.authority.until = fixture.clock.now() + left;
   if (random(2) === 0) led.process.pause();
-  scene.former.push(led);
-  const over = Math.max(...scene.former.map(each => each.authority.until));
+  scene.formerLeaders.push(led);
+  const over = Math.max(...scene.formerLeaders.map(each => each.authority.until));
   const cleared = new Promise<void>(resolve => {
     fixture.clock.after(over - fixture.clock.now(), resolve);
   });
   scene.led = fixture.lead({epoch: ++scene.epoch, table, cleared});
 }
 
-async function stopAsPlanned(scene: Scene): Promise<void> {
+async function handOverAsPlanned(scene: ScheduleState): Promise<void> {
   const {fixture, led} = scene;
   led.authority.until = fixture.clock.now();
   const table = await fixture.stop(led);
   // Those before it may still act: it can clear no more than itself.
-  const over = Math.max(0, ...scene.former.map(each => each.authority.until));
+  const over = Math.max(0, ...scene.formerLeaders.map(each => each.authority.until));
   const cleared = new Promise<void>(resolve => {
     fixture.clock.after(over - fixture.clock.now(), resolve);
   });
   scene.led = fixture.lead({epoch: ++scene.epoch, table, cleared});
 }
 
-function heal({fixture, former, led}: Scene): void {
+function heal({fixture, formerLeaders: former, led}: ScheduleState): void {
   for (const each of former) each.process.resume();
   led.authority.records = true;
   fixture.drains.clear();
   fixture.servers = NAMES.map(toServer);
   for (const server of fixture.fakes.servers.values()) {
-    server.fate = () => ({});
+    server.faultsFor = () => ({});
     server.down = false;
     if (server.frozen) server.thaw();
   }
--- a/packages/ownership/test/random.test.ts
+++ b/packages/ownership/test/random.test.ts
@@ -1,8 +1,8 @@
 import tap from 'tap';
 import {LOG} from './support/fake-log.js';
 import {isolate, viewOf} from './support/scene.js';
-import type {World} from './support/world.js';
-import {createWorld} from './support/world.js';
+import type {FakeCluster} from './support/world.js';
+import {createFakeCluster} from './support/world.js';
 
 const HOSTS = ['a', 'b', 'c', 'd'];
 const CELLS = ['holds/0', 'holds/1'];
@@ -22,23 +22,23 @@
   void tap.test(`random faults, seed ${seed}`, async t => {
     const random = createRandom(seed);
     const checksFences = seed % 2 === 0;
-    const world = createWorld({
+    const world = createFakeCluster({
       ...{hosts: HOSTS, cells: CELLS.length, random, checksFences},
       ...{rates: RATES, changeMs: 200},
     });
     world.network.latency = () => 1 + Math.floor(random() * 30);
     await world.clock.advance(3000);
-    await makeTrouble(world, random);
+    await injectFaults(world, random);
     t.strictSame(world.violations, []);
     await world.clock.advance(SETTLE_MS);
     t.strictSame(world.violations, [], 'nor when all is well again');
-    for (const cell of CELLS) t.ok(world.acting(cell), `${cell} is led again`);
-    t.ok(world.holders.length > 2 * CELLS.length, 'leadership did change');
+    for (const cell of CELLS) t.ok(world.activeLeader(cell), `${cell} is led again`);
+    t.ok(world.leaders.length > 2 * CELLS.length, 'leadership did change');
   });
 }
 
 /** Starts and ends faults at random; all are over in the end. */
-async function makeTrouble(world: World, random: () => number): Promise<void> {
+async function injectFaults(world: FakeCluster, random: () => number): Promise<void> {
   const ongoing: (() => void)[] = [];
   for (let step = 0; step < STEPS; step++) {
     const starts = random() * MAX_FAULTS > ongoing.length;
@@ -51,7 +51,7 @@
 }
 
 /** Brings a fault about; yields how to end it. */
-type Fault = (world: World, random: () => number) => () => void;
+type Fault = (world: FakeCluster, random: () => number) => () => void;
 
 const FAULTS: readonly Fault[] = [
   cutLink,
@@ -59,7 +59,7 @@
   isolatePair,
   (world, random) => isolate(world, [pick(random, HOSTS)]),
   pause,
-  lose,
+  killProcess,
   (world, random) => {
     world.start(pick(random, HOSTS));
     return () => {};
@@ -77,21 +77,21 @@
       random() < 0.5 ? 0 : Math.floor(random() * 6000);
     return () => void (world.faults.appendDelay = () => 0);
   },
-  atNextAppend,
-  atNextAppend,
-  atNextAppend,
+  faultAtNextAppend,
+  faultAtNextAppend,
+  faultAtNextAppend,
 ];
 
 /**
  * The worst moment for most faults: a claim is in the log, and hardly anybody
  * knows. Faults at random times hardly ever meet it.
  */
-function atNextAppend(world: World, random: () => number): () => void {
+function faultAtNextAppend(world: FakeCluster, random: () => number): () => void {
   let mend = (): void => {};
   world.faults.onAppend = host => {
     world.faults.onAppend = () => {};
     const isOfClaimant = random() < 0.5;
-    const faults = [isolatePair, pause, lose, cutLink];
+    const faults = [isolatePair, pause, killProcess, cutLink];
     mend = isOfClaimant
       ? isolate(world, [host, pick(random, HOSTS)])
       : pick(random, faults)(world, random);
@@ -103,7 +103,7 @@
 }
 
 /** Two that hear each other, but neither the log nor the others. */
-function isolatePair(world: World, random: () => number): () => void {
+function isolatePair(world: FakeCluster, random: () => number): () => void {
   const view = viewOf(world, pick(random, CELLS));
   const isInRole = random() < 0.7 && view !== null && view.standby !== null;
   const pair = isInRole
@@ -112,13 +112,13 @@
   return isolate(world, pair);
 }
 
-function pause(world: World, random: () => number): () => void {
+function pause(world: FakeCluster, random: () => number): () => void {
   const {process} = world.router(pick(random, HOSTS));
   process.pause();
   return () => process.resume();
 }
 
-function lose(world: World, random: () => number): () => void {
+function killProcess(world: FakeCluster, random: () => number): () => void {
   const host = pick(random, HOSTS);
   world.router(host).process.kill();
   return () => {
@@ -126,12 +126,12 @@
   };
 }
 
-function cutLink(world: World, random: () => number): () => void {
+function cutLink(world: FakeCluster, random: () => number): () => void {
   const nodes = [...HOSTS, LOG];
   const from = pick(random, nodes);
   const to = pick(random, nodes);
   world.network.cut(from, to);
-  return () => world.network.join(from, to);
+  return () => world.network.restore(from, to);
 }
 
 function pick<T>(random: () => number, items: readonly T[]): T {
--- a/packages/ownership/test/reach.test.ts
+++ b/packages/ownership/test/reach.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {createScene, viewOf} from './support/scene.js';
+import {createCellHarness, viewOf} from './support/scene.js';
 
 const HOSTS = ['a', 'b', 'c', 'd'];
 
@@ -8,11 +8,11 @@
 // requests that the other routers pass on to it all fail, for as long as the
 // cut lasts. The standby tells it, others confirm it, and it hands over.
 void tap.test('a leader that nobody can reach hands over', async t => {
-  const {world, leader} = await createScene(HOSTS);
-  world.network.opens = (_from, to) => to !== leader;
-  const took = await world.until(() => {
+  const {cluster: world, leader} = await createCellHarness(HOSTS);
+  world.network.allowsRequests = (_from, to) => to !== leader;
+  const took = await world.waitUntil(() => {
     const host = viewOf(world)?.leader.host;
-    return host !== leader && world.acting()?.host === host;
+    return host !== leader && world.activeLeader()?.host === host;
   }, 6000);
   t.ok(took >= 0 && took < 4000, `another leads after ${took} ms`);
   t.same(world.violations, []);
@@ -22,14 +22,14 @@
 // although everybody else reaches it. The leader must not give its cell to a
 // router that reaches nobody: it takes another standby.
 void tap.test('a standby that reaches nobody gets no cell', async t => {
-  const {world, leader, standby} = await createScene(HOSTS);
-  world.network.opens = from => from !== standby;
-  const took = await world.until(
+  const {cluster: world, leader, standby} = await createCellHarness(HOSTS);
+  world.network.allowsRequests = from => from !== standby;
+  const took = await world.waitUntil(
     () => viewOf(world)?.standby?.host !== standby,
     6000,
   );
   t.ok(took >= 0, `another standby after ${took} ms`);
   t.equal(viewOf(world)?.leader.host, leader);
-  t.equal(world.acting()?.host, leader);
+  t.equal(world.activeLeader()?.host, leader);
   t.same(world.violations, []);
 });
--- a/packages/ownership/test/support/fake-log.ts
+++ b/packages/ownership/test/support/fake-log.ts
@@ -57,10 +57,10 @@
 
   const poll = (): void => {
     const sentAt = clock.now();
-    network.carry(host, LOG, () => {
+    network.send(host, LOG, () => {
       if (faults.refuses) return;
       const seen = [...log];
-      network.carry(LOG, host, () =>
+      network.send(LOG, host, () =>
         process.deliver(() => accept(seen, sentAt)),
       );
     });
@@ -81,12 +81,12 @@
         const reply = faults.refuses ? 'refused' : log.push(record);
         if (reply !== 'refused') faults.onAppend(host);
         if (faults.losesReplies) return;
-        network.carry(LOG, host, () => process.deliver(() => resolve(reply)));
+        network.send(LOG, host, () => process.deliver(() => resolve(reply)));
       };
-      network.carry(host, LOG, () => {
+      network.send(host, LOG, () => {
         const delay = faults.appendDelay();
         if (delay === 0) apply();
-        else network.later(delay, apply);
+        else network.delay(delay, apply);
       });
     });
 
--- a/packages/ownership/test/support/network.ts
+++ b/packages/ownership/test/support/network.ts
@@ -15,14 +15,14 @@
   /** Time that a message takes, in ms; changed by tests. */
   latency: (from: string, to: string) => number;
   cut(from: string, to: string): void;
-  join(from: string, to: string): void;
+  restore(from: string, to: string): void;
   heal(): void;
   /** Whether what a host asks of another gets through; answers do. */
-  opens: (from: string, to: string) => boolean;
+  allowsRequests: (from: string, to: string) => boolean;
   /** Carries a message; it is lost where the link is cut on arrival. */
-  carry(from: string, to: string, task: () => void): void;
+  send(from: string, to: string, task: () => void): void;
   /** Keeps a message on its way for longer. */
-  later(ms: number, task: () => void): void;
+  delay(ms: number, task: () => void): void;
 }
 
 export function createNetwork(world: Clock): Network {
@@ -31,12 +31,12 @@
     cuts.has(`${from}>${to}`);
   const network: Network = {
     latency: () => 2,
-    opens: () => true,
+    allowsRequests: () => true,
     cut: (from, to) => void cuts.add(`${from}>${to}`),
-    join: (from, to) => void cuts.delete(`${from}>${to}`),
+    restore: (from, to) => void cuts.delete(`${from}>${to}`),
     heal: () => cuts.clear(),
-    later: (ms, task) => void world.after(ms, task),
-    carry(from, to, task) {
+    delay: (ms, task) => void world.after(ms, task),
+    send(from, to, task) {
       if (isCut(from, to)) return;
       world.after(network.latency(from, to), () => {
         if (!isCut(from, to)) task();
@@ -79,12 +79,12 @@
       const endpoint = endpoints.get(address);
       if (!endpoint) return;
       const there = endpoint.process.incarnation.host;
-      if (!network.opens(self.host, there)) return;
-      network.carry(self.host, there, () => {
+      if (!network.allowsRequests(self.host, there)) return;
+      network.send(self.host, there, () => {
         const now = endpoints.get(address);
         now?.process.deliver(() => {
           void serve(now).then(res => {
-            network.carry(there, self.host, () =>
+            network.send(there, self.host, () =>
               process.deliver(() => finish(res)),
             );
           });
@@ -101,14 +101,14 @@
     const there = endpoint.process.incarnation;
     if (there.boot !== to.boot) return failed('other-incarnation', there);
     const {ask: askSchema, answer: answerSchema} = ownershipSchemas[kind];
-    const parsed = askSchema.parse(overWire(ask));
+    const parsed = askSchema.parse(jsonRoundTrip(ask));
     const handler = endpoint.handlers()[kind] as (
       from: Incarnation,
       ask: unknown,
     ) => Promise<unknown>;
     const answer = await handler(self, parsed);
     return Ok(
-      answerSchema.parse(overWire(answer)) as OwnershipControl[K]['answer'],
+      answerSchema.parse(jsonRoundTrip(answer)) as OwnershipControl[K]['answer'],
     );
   };
 
@@ -124,7 +124,7 @@
   };
 }
 
-function overWire(data: unknown): unknown {
+function jsonRoundTrip(data: unknown): unknown {
   return JSON.parse(JSON.stringify(data));
 }
 
--- a/packages/ownership/test/support/world.ts
+++ b/packages/ownership/test/support/world.ts
@@ -21,7 +21,7 @@
 import {createFakeProcess} from './process.js';
 
 /** One process that was started to lead a cell. */
-export interface Holder {
+export interface FakeLeader {
   readonly host: string;
   readonly cell: string;
   readonly epoch: number;
@@ -32,13 +32,13 @@
   isCleared(): boolean;
 }
 
-interface MutableHolder extends Holder {
+interface MutableFakeLeader extends FakeLeader {
   readonly name: string;
   cleared: boolean;
   /** Newest version of the table that was acknowledged. */
-  recorded: number;
+  recordedVersion: number;
   /** The version that a successor started from. */
-  passedOn: number;
+  successorVersion: number;
 }
 
 export interface FakeRouter {
@@ -47,12 +47,12 @@
 }
 
 /** Several routers in one test, on one manual clock. */
-export interface World {
+export interface FakeCluster {
   readonly clock: ManualClock;
   readonly network: Network;
   readonly log: FakeLog;
   readonly faults: LogFaults;
-  readonly holders: readonly Holder[];
+  readonly leaders: readonly FakeLeader[];
   /** What went wrong with "one holder at most", if anything. */
   readonly violations: readonly string[];
   /** Starts, or starts anew, the router on a host. */
@@ -60,7 +60,7 @@
   router(host: string): FakeRouter;
   hosts: Host[];
   /** The holder that may act for the cell without limits, or null. */
-  acting(cell?: string): Holder | null;
+  activeLeader(cell?: string): FakeLeader | null;
   /** An operator's word that a run is lost. */
   attest(incarnation: Incarnation): void;
   /** An operator drains a router. */
@@ -68,12 +68,12 @@
   /** How often the router on a host withdrew its consent. */
   withdrawals(host: string): number;
   /** Advances until the condition holds; ms that took, -1 after `limit`. */
-  until(condition: () => boolean, limitMs: number): Promise<number>;
+  waitUntil(condition: () => boolean, limitMs: number): Promise<number>;
   /** Advances; yields the longest time without an acting holder, in ms. */
   longestGap(ms: number): Promise<number>;
 }
 
-export interface WorldOptions {
+export interface FakeClusterOptions {
   readonly hosts: readonly string[];
   readonly cells?: number;
   readonly checksFences?: boolean;
@@ -88,7 +88,7 @@
 const CHANGE = {changeId: 'c1', author: 'ann', reason: 'test', at: 'now'};
 export const CELL = 'holds/0';
 
-export function createWorld(options: WorldOptions): World {
+export function createFakeCluster(options: FakeClusterOptions): FakeCluster {
   const clock = createManualClock();
   const network = createNetwork(clock);
   const log: FakeLog = [];
@@ -100,7 +100,7 @@
   };
   const endpoints = new Map<string, Endpoint>();
   const routers = new Map<string, FakeRouter>();
-  const holders: MutableHolder[] = [];
+  const holders: MutableFakeLeader[] = [];
   const violations: string[] = [];
   const initial = initialState(options);
   const withdrawals = new Map<string, number>();
@@ -155,8 +155,8 @@
     return router;
   };
 
-  const world: World = {
-    ...{clock: checked, network, log, faults, holders, violations, start},
+  const world: FakeCluster = {
+    ...{clock: checked, network, log, faults, leaders: holders, violations, start},
     hosts: options.hosts.map(toHost),
     router(host) {
       const router = routers.get(host);
@@ -171,9 +171,9 @@
       log.push(encodeRecord({kind: 'drain', ...drain, ...CHANGE}));
     },
     withdrawals: host => withdrawals.get(host) ?? 0,
-    acting: (cell = CELL) =>
-      holders.find(h => h.cell === cell && isActing(h)) ?? null,
-    async until(condition, limitMs) {
+    activeLeader: (cell = CELL) =>
+      holders.find(h => h.cell === cell && isActive(h)) ?? null,
+    async waitUntil(condition, limitMs) {
       for (let ms = 0; ms <= limitMs; ms += STEP_MS) {
         if (condition()) return ms;
         await clock.advance(STEP_MS);
@@ -185,7 +185,7 @@
       let gap = 0;
       for (let spent = 0; spent < ms; spent += STEP_MS) {
         await clock.advance(STEP_MS);
-        gap = world.acting() === null ? gap + STEP_MS : 0;
+        gap = world.activeLeader() === null ? gap + STEP_MS : 0;
         longest = Math.max(longest, gap);
       }
       return longest;
@@ -196,13 +196,13 @@
 }
 
 /** May act, at servers that do not check fences too. */
-function isActing(holder: Holder): boolean {
+function isActive(holder: FakeLeader): boolean {
   const {process} = holder;
   const runs = process.isAlive() && !process.isPaused();
   return runs && holder.isCleared() && holder.mayAct();
 }
 
-function findViolation(holders: readonly Holder[]): string | null {
+function findViolation(holders: readonly FakeLeader[]): string | null {
   const able = holders.filter(h => h.process.isAlive() && h.mayAct());
   for (const newer of able) {
     if (!newer.isCleared()) continue;
@@ -210,7 +210,7 @@
       ({cell, epoch}) => cell === newer.cell && epoch < newer.epoch,
     );
     if (!older) continue;
-    const name = (h: Holder): string => `${h.host} (epoch ${h.epoch})`;
+    const name = (h: FakeLeader): string => `${h.host} (epoch ${h.epoch})`;
     return `${name(older)} and ${name(newer)} may both act`;
   }
   return null;
@@ -221,7 +221,7 @@
 /** Stands for the cell's leader: changes the table from time to time. */
 function createStartCell(
   process: FakeProcess,
-  holders: MutableHolder[],
+  holders: MutableFakeLeader[],
   violate: (what: string) => void,
   changeMs: number | undefined,
 ): StartCell {
@@ -235,7 +235,7 @@
       const entries = [{...owner, state: 'held'} as const];
       return {cell, epoch, version, entries, fences: new Map()};
     };
-    const holder: MutableHolder = {
+    const holder: MutableFakeLeader = {
       name,
       host: process.incarnation.host,
       cell,
@@ -244,8 +244,8 @@
       },
       process,
       inherited,
-      recorded: 0,
-      passedOn: Infinity,
+      recordedVersion: 0,
+      successorVersion: Infinity,
       mayAct: authority.mayAct,
       cleared: false,
       isCleared: () => holder.cleared,
@@ -253,8 +253,8 @@
     const change = async (): Promise<boolean> => {
       const wanted = ++version;
       if (!(await authority.record(table()))) return false;
-      holder.recorded = wanted;
-      if (wanted > holder.passedOn) violate(`${name} lost a change`);
+      holder.recordedVersion = wanted;
+      if (wanted > holder.successorVersion) violate(`${name} lost a change`);
       return true;
     };
     const run = async (): Promise<void> => {
@@ -266,7 +266,7 @@
         await sleep(process.clock, changeMs ?? RETRY_MS, signal);
       }
     };
-    if (inherited) passOn(holders, inherited, violate);
+    if (inherited) checkInheritedTable(holders, inherited, violate);
     holders.push(holder);
     void run();
     const locate = (): never => {
@@ -280,16 +280,16 @@
 }
 
 /** A table that is taken over must have every change that was recorded. */
-function passOn(
-  holders: readonly MutableHolder[],
+function checkInheritedTable(
+  holders: readonly MutableFakeLeader[],
   table: ShardTable,
   violate: (what: string) => void,
 ): void {
   const [entry] = table.entries;
   const before = holders.find(({name}) => name === entry?.server);
   if (!before) return;
-  before.passedOn = table.version;
-  if (before.recorded > table.version) violate(`change of ${before.name} lost`);
+  before.successorVersion = table.version;
+  if (before.recordedVersion > table.version) violate(`change of ${before.name} lost`);
 }
 
 function toHost(name: string, index: number): Host {
@@ -305,7 +305,7 @@
   return {host, address: `${host}:1`, boot: String(boot), dataCentre: 'dc'};
 }
 
-function initialState(options: WorldOptions): ClusterState {
+function initialState(options: FakeClusterOptions): ClusterState {
   const {cells = 1, checksFences = false} = options;
   const holds = {name: 'holds', shards: 64, cells, checksFences};
   const inventory = {places: [], services: [holds], servers: []};
--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -1,13 +1,13 @@
 import tap from 'tap';
 import {LOG} from './support/fake-log.js';
-import type {Scene} from './support/scene.js';
-import {createScene, isolate} from './support/scene.js';
-import type {World} from './support/world.js';
+import type {CellHarness} from './support/scene.js';
+import {createCellHarness, isolate} from './support/scene.js';
+import type {FakeCluster} from './support/world.js';
 
 interface Case {
   readonly name: string;
   /** Brings the fault about; may let time pass. */
-  readonly fault: (scene: Scene) => Promise<void> | void;
+  readonly fault: (scene: CellHarness) => Promise<void> | void;
   /** How long the test watches after that, in ms. */
   readonly watchMs: number;
   /** Longest time without an acting leader, in ms: least and most. */
@@ -25,7 +25,7 @@
   // leader, had it only been cut off, could not act any more (1030 ms).
   {
     name: 'leader lost',
-    fault: ({world, leader}) => world.router(leader).process.kill(),
+    fault: ({cluster: world, leader}) => world.router(leader).process.kill(),
     watchMs: 8000,
     gap: [2000, 2500],
     by: 'standby',
@@ -34,14 +34,14 @@
   // view still in memory, and must not act on it for a single step.
   {
     name: 'leader paused for 10 s',
-    fault: ({world, leader}) => world.router(leader).process.pause(),
+    fault: ({cluster: world, leader}) => world.router(leader).process.pause(),
     watchMs: 10_000,
     gap: [2000, 2500],
     by: 'standby',
   },
   {
     name: 'leader paused for 10 s and back',
-    fault: async ({world, leader}) => {
+    fault: async ({cluster: world, leader}) => {
       world.router(leader).process.pause();
       await world.clock.advance(10_000);
       world.router(leader).process.resume();
@@ -53,7 +53,7 @@
   // A pause too short for anybody to doubt: the leader goes on.
   {
     name: 'leader paused for 600 ms',
-    fault: async ({world, leader}) => {
+    fault: async ({cluster: world, leader}) => {
       world.router(leader).process.pause();
       await world.clock.advance(600);
       world.router(leader).process.resume();
@@ -66,7 +66,7 @@
   // messages. By then it was replaced; it must not depose anybody.
   {
     name: 'standby paused for 5 s and back',
-    fault: async ({world, standby}) => {
+    fault: async ({cluster: world, standby}) => {
       world.router(standby).process.pause();
       await world.clock.advance(5000);
       world.router(standby).process.resume();
@@ -79,7 +79,7 @@
   // must not count as silence of the leader.
   {
     name: 'standby paused while the log is down for the leader',
-    fault: async ({world, leader, standby}) => {
+    fault: async ({cluster: world, leader, standby}) => {
       world.network.cut(LOG, leader);
       world.router(standby).process.pause();
       await world.clock.advance(900);
@@ -92,7 +92,7 @@
   // The leader cannot read the log, its standby can. It lives on consent.
   {
     name: 'leader split from the log',
-    fault: ({world, leader}) => {
+    fault: ({cluster: world, leader}) => {
       world.network.cut(leader, LOG);
       world.network.cut(LOG, leader);
     },
@@ -104,7 +104,7 @@
   // gives up earlier than the standby and takes another one.
   {
     name: 'leader and standby split from each other',
-    fault: ({world, leader, standby}) => {
+    fault: ({cluster: world, leader, standby}) => {
       world.network.cut(leader, standby);
       world.network.cut(standby, leader);
     },
@@ -114,7 +114,7 @@
   },
   {
     name: 'messages from leader to standby lost',
-    fault: ({world, leader, standby}) => world.network.cut(leader, standby),
+    fault: ({cluster: world, leader, standby}) => world.network.cut(leader, standby),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -122,7 +122,7 @@
   // The standby hears the questions, the leader gets no answers.
   {
     name: 'messages from standby to leader lost',
-    fault: ({world, leader, standby}) => world.network.cut(standby, leader),
+    fault: ({cluster: world, leader, standby}) => world.network.cut(standby, leader),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -131,14 +131,14 @@
   // standby acts only after that.
   {
     name: 'leader split from everything',
-    fault: ({world, leader}) => void isolate(world, [leader]),
+    fault: ({cluster: world, leader}) => void isolate(world, [leader]),
     watchMs: 8000,
     gap: [500, 2500],
     by: 'standby',
   },
   {
     name: 'standby lost',
-    fault: ({world, standby}) => world.router(standby).process.kill(),
+    fault: ({cluster: world, standby}) => world.router(standby).process.kill(),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -146,7 +146,7 @@
   // Nothing can be claimed, nothing needs to be: consent carries the leader.
   {
     name: 'log down for 20 s',
-    fault: ({world}) => void (world.faults.refuses = true),
+    fault: ({cluster: world}) => void (world.faults.refuses = true),
     watchMs: 20_000,
     gap: NONE,
     by: 'leader',
@@ -156,7 +156,7 @@
   // the leader could not go on when the way is back.
   {
     name: 'log down, leader and standby split for 2 s',
-    fault: async ({world, leader, standby}) => {
+    fault: async ({cluster: world, leader, standby}) => {
       world.faults.refuses = true;
       await world.clock.advance(3000);
       world.network.cut(leader, standby);
@@ -172,14 +172,14 @@
   // when the leader is lost, though its readings are old when they arrive.
   {
     name: 'log slow for 20 s',
-    fault: ({world}) => slowDownLog(world),
+    fault: ({cluster: world}) => slowDownLog(world),
     watchMs: 20_000,
     gap: NONE,
     by: 'leader',
   },
   {
     name: 'log slow and leader lost',
-    fault: async ({world, leader}) => {
+    fault: async ({cluster: world, leader}) => {
       slowDownLog(world);
       await world.clock.advance(5000);
       world.router(leader).process.kill();
@@ -190,7 +190,7 @@
   },
   {
     name: 'log slow and standby lost',
-    fault: async ({world, standby}) => {
+    fault: async ({cluster: world, standby}) => {
       slowDownLog(world);
       await world.clock.advance(5000);
       world.router(standby).process.kill();
@@ -202,7 +202,7 @@
   // Nobody can agree on a new leader without the log.
   {
     name: 'log down and leader lost',
-    fault: async ({world, leader}) => {
+    fault: async ({cluster: world, leader}) => {
       world.faults.refuses = true;
       world.router(leader).process.kill();
       await world.clock.advance(2000);
@@ -213,7 +213,7 @@
   },
   {
     name: 'log down and leader lost, log back',
-    fault: async ({world, leader}) => {
+    fault: async ({cluster: world, leader}) => {
       world.faults.refuses = true;
       world.router(leader).process.kill();
       await world.clock.advance(10_000);
@@ -227,9 +227,9 @@
   // claim for 5 s. The withdrawal stands, the claim is tried on.
   {
     name: 'log down right after the standby withdrew',
-    fault: async ({world, leader, standby}) => {
+    fault: async ({cluster: world, leader, standby}) => {
       world.router(leader).process.kill();
-      await world.until(() => world.withdrawals(standby) > 0, 2000);
+      await world.waitUntil(() => world.withdrawals(standby) > 0, 2000);
       world.faults.refuses = true;
       await world.clock.advance(5000);
       world.faults.refuses = false;
@@ -241,7 +241,7 @@
   // The claim is in the log, the claimant doesn't know. It reads it back.
   {
     name: "reply to the standby's claim lost",
-    fault: ({world, leader}) => {
+    fault: ({cluster: world, leader}) => {
       world.faults.losesReplies = true;
       world.router(leader).process.kill();
     },
@@ -253,7 +253,7 @@
   // of the same standby has won.
   {
     name: "standby's claim delivered late",
-    fault: ({world, leader}) => {
+    fault: ({cluster: world, leader}) => {
       let claims = 0;
       world.faults.appendDelay = () => (claims++ === 0 ? 5000 : 0);
       world.router(leader).process.kill();
@@ -265,7 +265,7 @@
   // Nobody can tell "lost" from "cut off together": without proof, all wait.
   {
     name: 'leader and standby lost',
-    fault: ({world, leader, standby}) => {
+    fault: ({cluster: world, leader, standby}) => {
       world.router(leader).process.kill();
       world.router(standby).process.kill();
     },
@@ -276,7 +276,7 @@
   // The new run answers at the old one's address: the old one is over.
   {
     name: 'leader and standby lost, standby restarted',
-    fault: async ({world, leader, standby}) => {
+    fault: async ({cluster: world, leader, standby}) => {
       world.router(leader).process.kill();
       world.router(standby).process.kill();
       await world.clock.advance(5000);
@@ -288,7 +288,7 @@
   },
   {
     name: 'leader and standby lost, leader attested lost',
-    fault: async ({world, leader, standby}) => {
+    fault: async ({cluster: world, leader, standby}) => {
       const {incarnation} = world.router(leader).process;
       world.router(leader).process.kill();
       world.router(standby).process.kill();
@@ -303,21 +303,21 @@
   // standby need not wait for anything.
   {
     name: 'leader stopped as planned',
-    fault: ({world, leader}) => void world.router(leader).ownership.stop(),
+    fault: ({cluster: world, leader}) => void world.router(leader).ownership.stop(),
     watchMs: 8000,
     gap: [0, 250],
     by: 'standby',
   },
   {
     name: 'standby stopped as planned',
-    fault: ({world, standby}) => void world.router(standby).ownership.stop(),
+    fault: ({cluster: world, standby}) => void world.router(standby).ownership.stop(),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
   },
   {
     name: 'leader drained by an operator',
-    fault: ({world, leader}) => world.drain(leader),
+    fault: ({cluster: world, leader}) => world.drain(leader),
     watchMs: 8000,
     gap: [0, 250],
     by: 'standby',
@@ -326,7 +326,7 @@
   // take its right back, since the standby claims at once.
   {
     name: 'answer to the resignation lost',
-    fault: ({world, leader, standby}) => {
+    fault: ({cluster: world, leader, standby}) => {
       void world.router(leader).ownership.stop();
       world.network.cut(standby, leader);
     },
@@ -338,22 +338,22 @@
 
 for (const {name, fault, watchMs, gap, by} of cases) {
   void tap.test(name, async t => {
-    const scene = await createScene(HOSTS);
-    const {world} = scene;
+    const scene = await createCellHarness(HOSTS);
+    const {cluster: world} = scene;
     await fault(scene);
     const longest = await world.longestGap(watchMs);
     t.strictSame(world.violations, [], 'one holder at most, at any time');
     t.ok(longest >= gap[0] && longest <= gap[1], `nobody for ${longest} ms`);
-    t.equal(roleOf(scene, world.acting()?.host), by);
+    t.equal(roleOf(scene, world.activeLeader()?.host), by);
   });
 }
 
-function slowDownLog(world: World): void {
+function slowDownLog(world: FakeCluster): void {
   world.network.latency = (from, to) => (from === LOG || to === LOG ? 700 : 2);
 }
 
 function roleOf(
-  {leader, standby}: Scene,
+  {leader, standby}: CellHarness,
   host: string | undefined,
 ): Case['by'] {
   if (host === undefined) return 'nobody';
