--- a/packages/ownership/src/catch-up.ts
+++ b/packages/ownership/src/catch-up.ts
@@ -15,32 +15,32 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly signal: AbortSignal;
-  /** 0 to below 1. */
+  /** Uniformly distributed in [0, 1). */
   readonly random: () => number;
 }
 
-/** Fetches newer state from peers while the log cannot be read. */
+/** Fetches newer state from other routers while the log is unreadable. */
 export interface CatchUp {
-  /** Fetches the state of a peer that knows more than this process. */
+  /** Fetches the state of a router that has read further in the log. */
   pull(from: Incarnation): void;
   /**
-   * Until the log was read for the first time, fetches the state from some of
-   * the other routers again and again: a router that starts during an outage
-   * of the log learns the publication and the views from them.
+   * Fetches the state from a random sample of the other routers repeatedly,
+   * until the log has been read for the first time. A router that starts during
+   * an outage of the log learns the publication and the views this way.
    */
   runUntilRead(): Promise<void>;
 }
 
-/** Before peers are asked, the log gets this long, in ms. */
+/** Time for the first read of the log before other routers are asked, in ms. */
 const FIRST_READ_WAIT_MS = 1000;
 const RETRY_DELAY_MS = 2000;
 const PEER_TIMEOUT_MS = 1000;
 const PEERS_PER_ROUND = 5;
 
 /**
- * Takes over the newer state of other routers. What they know comes from the
- * log as well, so it is as good as our own reading; it does not count as a
- * confirmed reading of the log's end, though.
+ * Adopts newer state from other routers. Their state was read from the log as
+ * well, so it is as reliable as a read of our own. It doesn't count as a
+ * confirmed read of the log's end, however.
  *
  * @example
  * ```ts
@@ -60,7 +60,8 @@
     const res = await peers.ask(from, 'state', ask, PEER_TIMEOUT_MS);
     pulling.delete(key);
     if (!res.ok || res.val.encoded === null || signal.aborted) return;
-    if (store.adopt(res.val.encoded)) log.info('state of a peer', {from: key});
+    if (store.adopt(res.val.encoded))
+      log.info('adopted newer state from a peer', {from: key});
   };
 
   const pullFromAddress = async (address: string): Promise<void> => {
--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -34,47 +34,47 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly timing: Timing;
-  /** Ends the leadership at once, as `stop` does. */
+  /** Aborting ends the leadership at once, as `stop` does. */
   readonly signal: AbortSignal;
-  /** Another planner of moves, for experiments. */
+  /** Replaces the default planner of shard moves, for experiments. */
   readonly createPlanner?: () => Planner;
 }
 
-/** One server of a cell, for status and explanations. */
+/** State of one server of a cell, for status output and explanations. */
 export interface ServerDescription {
   readonly server: string;
   readonly health: LeaseHealth;
-  /** Why it is being emptied, or null. */
+  /** Why its shards are being moved away; null if they are not. */
   readonly leaving: string | null;
   readonly shards: number;
   readonly fence: Fence;
-  /** How long its lease surely lasts, in ms; null without a lease. */
+  /** Guaranteed remaining time of its lease, in ms; null without a lease. */
   readonly leaseLeftMs: number | null;
   readonly slots: number;
-  /** Slots that it proved able to keep busy. */
+  /** Number of slots that it has been observed to keep in use. */
   readonly capacity: number;
-  /** Share of them that it may be given, 0 to 1. */
+  /** Share of that capacity that placement may use, 0 to 1. */
   readonly readiness: number;
-  /** Slots kept busy over the last period. */
+  /** Average number of slots in use over the last period. */
   readonly busy: number;
 }
 
-/** One shard of a cell, for status and explanations. */
+/** State of one shard of a cell, for status output and explanations. */
 export interface ShardDescription {
   readonly shard: ShardId;
   readonly state: ShardState;
   readonly server: string | null;
   readonly next: string | null;
   readonly servable: boolean;
-  /** Slots that it keeps busy, smoothed. */
+  /** Smoothed number of slots that its requests use. */
   readonly busy: number;
-  /** Why it is where it is. */
+  /** Reason for its latest change of server. */
   readonly reason: string;
-  /** How long ago it moved, in ms; null where it hasn't. */
+  /** Time since its last move, in ms; null if it has not moved. */
   readonly movedAgoMs: number | null;
 }
 
-/** A led cell, for status and explanations. */
+/** State of a cell, as its leader describes it for status output. */
 export interface CellDescription {
   readonly cell: CellId;
   readonly epoch: Offset;
@@ -83,21 +83,23 @@
   readonly shards: readonly ShardDescription[];
 }
 
-/** The leadership of one cell. */
+/** This process's leadership of one cell. */
 export interface CellLeader {
   readonly led: LedCell;
   /**
-   * Ends it: no order is sent any more when it resolves. The table is for the
-   * successor; null where this leader didn't know it yet itself: a successor
-   * that took the shards for free would give them a second owner.
+   * Ends the leadership. No lease call is sent after the promise resolves.
+   * Resolves with the table for the successor, or with null if this leader
+   * hasn't learned the table itself yet: a successor that took the unknown
+   * shards for free would grant them to a second server.
    */
   stop(): Promise<ShardTable | null>;
   describe(): CellDescription;
 }
 
 /**
- * Starts to lead a cell: takes it over, keeps its servers' leases, and moves
- * shards as servers come, go and get busy.
+ * Starts to lead a cell: recovers the former leader's table, renews the leases
+ * of the cell's servers, and moves shards as servers join, leave and change
+ * in load.
  *
  * @example
  * ```ts
@@ -111,7 +113,7 @@
   const {cell} = authority;
   const stopper = new AbortController();
   const signal = AbortSignal.any([options.signal, stopper.signal]);
-  // One listener for each change under way and each server's task.
+  // Each handover in progress and each server's lease task adds a listener.
   setMaxListeners(0, signal);
   const timing = createLeaseTiming(options.timing);
   const wake = createCondition(clock);
@@ -172,11 +174,11 @@
     await recovery.run();
     await placer.run();
   };
-  // Nobody may be left waiting behind a gate that this leader closed.
+  // Requests that wait at a gate closed by this leader must be released.
   signal.addEventListener('abort', locator.stop);
   const unsubscribe = options.store.subscribe(() => wake.notify());
   const leading = lead().catch((err: unknown) => {
-    log.error('leading a cell failed', {cell, detail: String(err)});
+    log.error('cell leadership failed', {cell, detail: String(err)});
   });
 
   const stop = async (): Promise<ShardTable | null> => {
@@ -209,16 +211,16 @@
     });
 
   const describeShards = (): readonly ShardDescription[] =>
-    Array.from(map.all(), slot => ({
-      shard: slot.shard,
-      state: slot.state,
-      server: slot.server,
-      next: slot.next,
-      servable: locator.isServable(slot),
-      busy: watch.busyOf(slot.shard),
-      reason: slot.reason,
-      movedAgoMs: Number.isFinite(slot.movedAt)
-        ? clock.now() - slot.movedAt
+    Array.from(map.all(), tracked => ({
+      shard: tracked.shard,
+      state: tracked.state,
+      server: tracked.server,
+      next: tracked.next,
+      servable: locator.isServable(tracked),
+      busy: watch.busyOf(tracked.shard),
+      reason: tracked.reason,
+      movedAgoMs: Number.isFinite(tracked.movedAt)
+        ? clock.now() - tracked.movedAt
         : null,
     }));
 
--- a/packages/ownership/src/handover.ts
+++ b/packages/ownership/src/handover.ts
@@ -4,7 +4,7 @@
 import type {ShardLocator} from './shard-locator.js';
 import type {ShardMap, TrackedShard, TableRecorder} from './shard-table.js';
 
-/** What changes of ownership work on. */
+/** Dependencies of the functions that change the owner of a shard. */
 export interface HandoverContext {
   readonly map: ShardMap;
   readonly tasks: ReadonlyMap<string, LeaseTask>;
@@ -15,130 +15,142 @@
 }
 
 /**
- * Gives a shard that no server may hold to a server.
+ * Grants a free shard to a server.
  *
  * @example
  * ```ts
- * await grantShard(ctx, slot, 'bed-3', 'nobody owned it');
+ * await grantShard(ctx, tracked, 'bed-3', 'nobody owned it');
  * ```
  */
 export async function grantShard(
   ctx: HandoverContext,
-  slot: TrackedShard,
+  tracked: TrackedShard,
   to: string,
   reason: string,
 ): Promise<void> {
-  slot.state = 'held';
-  slot.server = to;
-  slot.next = null;
-  slot.reason = reason;
+  tracked.state = 'held';
+  tracked.server = to;
+  tracked.next = null;
+  tracked.reason = reason;
   ctx.recorder.markChanged();
-  // Only once the standby knows may the server be told: a successor that
-  // doesn't know would grant the shard to another server.
+  // The standby must have the change before the server gets the shard: a
+  // successor without it would grant the shard to another server.
   if (!(await ctx.recorder.commit())) return;
   const task = ctx.tasks.get(to);
-  if (task === undefined) freeShard(ctx, slot, `${to} went away`);
-  else task.add([slot.shard]);
-  ctx.locator.resume(slot);
+  if (task === undefined)
+    freeShard(ctx, tracked, `${to} is no longer available`);
+  else task.add([tracked.shard]);
+  ctx.locator.resume(tracked);
 }
 
-/** Notes that no server may hold the shard any more. */
+/** Marks a shard as free: no server may serve it any more. */
 export function freeShard(
   ctx: HandoverContext,
-  slot: TrackedShard,
+  tracked: TrackedShard,
   reason: string,
 ): void {
-  if (slot.server !== null) ctx.tasks.get(slot.server)?.drop([slot.shard]);
-  slot.state = 'free';
-  slot.server = null;
-  slot.next = null;
-  slot.reason = reason;
-  slot.movedAt = ctx.clock.now();
+  if (tracked.server !== null)
+    ctx.tasks.get(tracked.server)?.drop([tracked.shard]);
+  tracked.state = 'free';
+  tracked.server = null;
+  tracked.next = null;
+  tracked.reason = reason;
+  tracked.movedAt = ctx.clock.now();
   ctx.recorder.markChanged();
 }
 
-/** How long requests in flight may hold up a change that can wait. */
+/** Longest wait for requests in flight before an optional move, in ms. */
 export const MAX_QUIESCE_MS = 1000;
 
-/** How long such a change is put off then. */
+/** How long an optional move is postponed after that wait, in ms. */
 const POSTPONE_MS = 30_000;
 
 /**
- * Stops dispatch of a shard and lets its requests in flight finish. Without
- * `mustGo`, that is given up where they take long: newcomers would wait, for
- * a mere gain in balance, until a request that may run for minutes is over.
- * Returns whether the shard is quiet; dispatch goes on where it isn't.
+ * Stops dispatch of a shard and waits until its requests in flight finish.
+ * Unless `isMandatory`, gives up after {@link MAX_QUIESCE_MS}: new requests
+ * would otherwise wait for a request that may run for minutes, only to improve
+ * balance. Returns whether the shard has no requests in flight; dispatch is
+ * resumed if it still has some.
  *
  * @example
  * ```ts
- * if (!(await quiesce(ctx, slot, task, false))) return;
+ * if (!(await quiesce(ctx, tracked, task, false))) return;
  * ```
  */
 export async function quiesce(
   ctx: HandoverContext,
-  slot: TrackedShard,
+  tracked: TrackedShard,
   task: LeaseTask,
   isMandatory: boolean,
 ): Promise<boolean> {
   const {locator, clock, signal} = ctx;
-  // A server that checks fences stops what still runs when it loses the shard.
+  // A server that checks fences cancels running requests when it loses a shard.
   const wait = task.checksFences ? 'answered' : 'ended';
-  const quiet = untilAborted(locator.pause(slot, wait), signal);
-  const isQuiet = isMandatory
-    ? quiet.then(() => true)
-    : within(clock, MAX_QUIESCE_MS, quiet);
-  if (await isQuiet) return !signal.aborted;
+  const drained = untilAborted(locator.pause(tracked, wait), signal);
+  const isDrained = isMandatory
+    ? drained.then(() => true)
+    : within(clock, MAX_QUIESCE_MS, drained);
+  if (await isDrained) return !signal.aborted;
   if (signal.aborted) return false;
-  slot.postponedUntil = clock.now() + POSTPONE_MS;
-  locator.resume(slot);
+  tracked.postponedUntil = clock.now() + POSTPONE_MS;
+  locator.resume(tracked);
   return false;
 }
 
-/** What a shard's way to another server is for. */
+/** A move of a shard to another server. */
 export interface HandoverRequest {
   readonly to: string;
   readonly reason: string;
-  /** The old server may not keep it, however long its requests take. */
+  /** The old server can't keep the shard, however long its requests take. */
   readonly isMandatory: boolean;
 }
 
 /**
- * Moves a shard from one server to another: stops dispatch, lets requests in
- * flight finish, releases, grants. Requests that come meanwhile wait. Where
- * the receiver is lost meanwhile, the shard is left free. Where requests take
- * too long for a move that can wait, the shard stays.
+ * Moves a shard from one server to another: stops dispatch, waits for requests
+ * in flight, releases the shard and grants it. Requests that arrive meanwhile
+ * wait. If the target server is lost meanwhile, the shard is left free. If
+ * requests take too long for an optional move, the shard stays.
  *
  * @example
  * ```ts
- * const order = {to: 'bed-3', reason: 'bed-2 is leaving', mustGo: true};
- * await handOver(ctx, slot, order);
+ * const request = {
+ *   to: 'bed-3',
+ *   reason: 'bed-2 is leaving',
+ *   isMandatory: true,
+ * };
+ * await handOver(ctx, tracked, request);
  * ```
  */
 export async function handOver(
   ctx: HandoverContext,
-  slot: TrackedShard,
-  {to, reason, isMandatory: mustGo}: HandoverRequest,
+  tracked: TrackedShard,
+  {to, reason, isMandatory}: HandoverRequest,
 ): Promise<void> {
   const {signal} = ctx;
-  const from = slot.server === null ? undefined : ctx.tasks.get(slot.server);
+  const from =
+    tracked.server === null ? undefined : ctx.tasks.get(tracked.server);
   if (from === undefined) return;
-  slot.state = 'moving';
-  slot.next = to;
+  tracked.state = 'moving';
+  tracked.next = to;
   ctx.recorder.markChanged();
   if (!(await ctx.recorder.commit())) return;
-  if (!(await quiesce(ctx, slot, from, mustGo))) return cancelMove(ctx, slot);
-  await from.release(slot.shard);
+  if (!(await quiesce(ctx, tracked, from, isMandatory)))
+    return cancelMove(ctx, tracked);
+  await from.release(tracked.shard);
   if (signal.aborted) return;
-  freeShard(ctx, slot, reason);
-  const isThere = ctx.tasks.get(to)?.health() === 'ok';
-  if (isThere) await grantShard(ctx, slot, to, reason);
-  else ctx.locator.resume(slot);
+  freeShard(ctx, tracked, reason);
+  const isAvailable = ctx.tasks.get(to)?.health() === 'ok';
+  if (isAvailable) await grantShard(ctx, tracked, to, reason);
+  else ctx.locator.resume(tracked);
 }
 
-/** The move is given up before the old server was told of it. */
-function cancelMove({signal, recorder}: HandoverContext, slot: TrackedShard): void {
+/** Cancels a move whose release has not been sent to the old server yet. */
+function cancelMove(
+  {signal, recorder}: HandoverContext,
+  tracked: TrackedShard,
+): void {
   if (signal.aborted) return;
-  slot.state = 'held';
-  slot.next = null;
+  tracked.state = 'held';
+  tracked.next = null;
   recorder.markChanged();
 }
--- a/packages/ownership/src/led-cell.ts
+++ b/packages/ownership/src/led-cell.ts
@@ -1,37 +1,38 @@
 import type {CellId, Fence, Offset, ShardId} from '@banyandrum/base/ids.js';
 import type {ServerRef, Stamp} from '@banyandrum/servers/client.js';
 
-/** The shard has an owner with a lease in force. */
+/** The shard has an owner with a valid lease. */
 export interface Owned {
   readonly kind: 'owned';
   readonly shard: ShardId;
   readonly server: ServerRef;
   readonly fence: Fence;
-  /** Local monotonic time at which the lease ends, counted with care. */
+  /** Local monotonic time of the lease's expiry, a conservative estimate. */
   readonly leaseEnd: number;
   /**
-   * Whether the server stops what runs for a shard when its lease ends or an
-   * order takes the shard. Others honour nothing but the deadline.
+   * Whether the server cancels running requests of a shard when its lease
+   * expires or a lease call takes the shard away. Other servers only respect
+   * the requests' deadlines.
    */
   readonly checksFences: boolean;
   /**
-   * Local time at which the server has surely lost the shard unless its lease
-   * is renewed once more; past once it is lost; infinite where this process
-   * no longer knows, since another one may keep the lease now.
+   * Local time by which the server has certainly lost the shard unless its
+   * lease is renewed again. In the past once the shard is lost. Infinite when
+   * this process can't know, since another leader may renew the lease now.
    */
   heldUntil(): number;
-  /** Converts a local time into the server's own clock, erring early. */
+  /** Converts a local time to the server's clock; errs on the early side. */
   toServerTime(localMs: number): Stamp;
 }
 
-/** The shard moves or recovers; ask again once `settled` resolves. */
+/** The shard is moving or recovering; retry once `settled` resolves. */
 export interface Moving {
   readonly kind: 'moving';
   readonly shard: ShardId;
   readonly settled: Promise<void>;
 }
 
-/** No server can take the shard now. */
+/** No server can take the shard at present. */
 export interface Unowned {
   readonly kind: 'unowned';
   readonly shard: ShardId;
@@ -44,73 +45,73 @@
 export interface LedCell {
   readonly cell: CellId;
   readonly epoch: Offset;
-  /** Where a key is now. */
+  /** Returns where a key is at present. */
   locate(key: string): Location;
-  /** Whether this process may act for the cell at this very moment. */
+  /** Whether this process holds the authority over the cell right now. */
   mayAct(): boolean;
 }
 
 /**
- * What a closed gate waits for.
+ * What closing a gate waits for.
  *
- * - `answered`: every caller has its outcome. Enough where an order to the
- *   server ends what it still runs for the shard.
- * - `ended`: no server runs a request of the shard any more. One that was
- *   written and has no answer counts until its deadline on the server has
- *   passed, although its caller has been told: the server may still run it.
+ * - `answered`: every caller has its response. Sufficient if a lease call makes
+ *   the server cancel what it still runs for the shard.
+ * - `ended`: no server runs a request of the shard any more. A request that was
+ *   sent and not answered counts until its deadline at the server has passed,
+ *   even if its caller already got an error: the server may still run it.
  */
 export type GateWait = 'answered' | 'ended';
 
 /**
- * What ownership asks of the requests in flight when it moves a shard or
- * hears of a lost server. Implemented by the leader's admission.
+ * Controls dispatch of a shard's requests while the shard moves or after its
+ * server was lost. Implemented by the leader's admission.
  */
 export interface DispatchGate {
   /**
    * Stops dispatch of the shard and resolves when none of its requests is
-   * in flight any more; without `wait`, none has `ended`. Newcomers wait in
-   * the queue.
+   * in flight any more, in the sense of `wait` (`ended` if omitted). New
+   * requests wait in the queue.
    */
   close(cell: CellId, shard: ShardId, wait?: GateWait): Promise<void>;
-  /** Lets the shard's waiting requests go, wherever it is now. */
+  /** Resumes dispatch of the shard's queued requests to its current server. */
   open(cell: CellId, shard: ShardId): void;
 }
 
-/** Load of one shard as its leader saw it, over the last period. */
+/** Load of one shard over the last period, as measured by its leader. */
 export interface ShardLoad {
   readonly shard: ShardId;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
-  /** Slots kept busy on average. */
+  /** Average number of slots in use. */
   readonly busy: number;
 }
 
-/** Load of one server as its leader saw it, over the last period. */
+/** Load of one server over the last period, as measured by the leader. */
 export interface ServerObservation {
   readonly server: string;
-  /** Slots in flight on average. */
+  /** Average number of slots in use. */
   readonly busy: number;
   readonly queued: number;
-  /** Mean time from write to answer, in ms; 0 before the first. */
+  /** Mean time from sending to the response, in ms; 0 before the first. */
   readonly serviceMs: number;
   readonly shed: number;
 }
 
 export interface HotKey {
   readonly key: string;
-  /** Requests a second, at least. */
+  /** Lower bound of its requests per second. */
   readonly rate: number;
   readonly busy: number;
 }
 
-/** The leader's own observation of one cell. */
+/** Load of one cell, as measured by its leader. */
 export interface CellLoad {
   readonly shards: readonly ShardLoad[];
   readonly servers: readonly ServerObservation[];
   readonly hotKeys: readonly HotKey[];
 }
 
-/** Where ownership learns the load. Implemented by the leader's admission. */
+/** Source of load measurements. Implemented by the leader's admission. */
 export interface LoadSource {
   read(cell: CellId): CellLoad;
 }
--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -25,23 +25,26 @@
   readonly signal: AbortSignal;
 }
 
-/** Takes a cell over from its former leader. */
+/** Recovers the state of a cell after a change of its leader. */
 export interface Recovery {
-  /** Resolves when shards may be granted. */
+  /** Runs the recovery; resolves when shards may be granted. */
   run(): Promise<void>;
-  /** Takes note of what a server held when it was first asked. */
+  /** Records the shards that a server reported in its first answer. */
   recordReport(task: LeaseTask, shards: readonly ShardId[]): void;
-  /** Whether the cell's table is known by now. */
+  /** Whether the cell's table is known. */
   isTableKnown(): boolean;
-  /** Where the servers are that the table's entries are about. */
+  /** Addresses of the servers that the table's entries refer to, by name. */
   addresses(): ReadonlyMap<string, string>;
-  /** When every order of a former leader has lapsed; infinite before. */
+  /**
+   * Local time by which every lease granted by a former leader has expired;
+   * infinite until the former leader can no longer act.
+   */
   formerLeaseExpiry(): number;
 }
 
 /**
- * Makes the recovery of one cell, with the former leader's table or, where
- * that is lost, by asking the servers.
+ * Creates the recovery of one cell. It starts from the former leader's table
+ * or, if that is lost, asks the servers which shards they own.
  *
  * @example
  * ```ts
@@ -58,8 +61,8 @@
 
   const limitFormerLeases = (): void => {
     const {ttlMs, marginMs} = options.timing;
-    // The former leader wrote its last order before now, with an echo that
-    // it had received before.
+    // The former leader sent its last lease call before now, and a lease is
+    // counted from a server timestamp that the leader received even earlier.
     const clearedAt = clock.now();
     formerLeaseExpiry = clearedAt + ttlMs + marginMs;
     registry.limitForeign({clearedAt, until: formerLeaseExpiry});
@@ -83,20 +86,20 @@
     registry.runAll();
   };
 
-  /** The new standby should have the table soon, though nothing changes. */
+  /** Sends the table to the new standby early, even if nothing changes. */
   const replicate = (): void => {
     recorder.markChanged();
     void recorder.commit();
   };
 
   const adoptEntry = (entry: ShardEntry): void => {
-    const slot = findOrAddShard(map, entry.shard);
-    if (slot === null || entry.server === null) return;
-    // A shard that was moving is still covered by its old server's lease, or
-    // by none: either way the old server may go on with it.
-    slot.state = 'held';
-    slot.server = entry.server;
-    slot.reason = 'taken over with the table';
+    const tracked = findOrAddShard(map, entry.shard);
+    if (tracked === null || entry.server === null) return;
+    // A shard that was moving is covered by its old server's lease or by none.
+    // In both cases the old server may continue to serve it.
+    tracked.state = 'held';
+    tracked.server = entry.server;
+    tracked.reason = 'inherited from the former leader';
   };
 
   const queryServers = async (): Promise<void> => {
@@ -105,8 +108,9 @@
     limitFormerLeases();
     isQuerying = true;
     registry.runAll();
-    // A server that isn't reached, or is gone from the inventory, may hold a
-    // shard or a hot key that no other one knows of. Only time rules it out.
+    // A server that is unreachable or no longer in the inventory may own a
+    // shard or hot key that nobody else reports. Only the expiry of its lease
+    // rules that out.
     await sleep(clock, formerLeaseExpiry - clock.now(), signal);
     isQuerying = false;
     if (signal.aborted) return;
@@ -122,22 +126,22 @@
   };
 
   const recordShard = (task: LeaseTask, shard: ShardId): void => {
-    const slot = findOrAddShard(map, shard);
-    if (slot === null || disputed.has(shard)) return;
+    const tracked = findOrAddShard(map, shard);
+    if (tracked === null || disputed.has(shard)) return;
     const {name} = task.server;
-    if (slot.server === null) {
-      slot.state = 'held';
-      slot.server = name;
-      slot.reason = 'reported by its server';
+    if (tracked.server === null) {
+      tracked.state = 'held';
+      tracked.server = name;
+      tracked.reason = 'reported by its server';
       task.add([shard]);
       return;
     }
-    if (slot.server === name) return;
+    if (tracked.server === name) return;
     disputed.add(shard);
-    registry.tasks.get(slot.server)?.drop([shard]);
-    slot.state = 'free';
-    slot.server = null;
-    slot.reason = 'two servers reported it';
+    registry.tasks.get(tracked.server)?.drop([shard]);
+    tracked.state = 'free';
+    tracked.server = null;
+    tracked.reason = 'reported by two servers';
   };
 
   const removeDisputedHotKeys = (): void => {
@@ -152,7 +156,7 @@
       inheritance.table === null ? queryServers() : takeOver(inheritance.table),
     recordReport: recordReport,
     isTableKnown: () => isTableKnown,
-    // Until older leases have lapsed, entries may be about the old addresses.
+    // Entries may refer to inherited addresses until former leases expire.
     addresses: () =>
       new Map([
         ...registry.addresses(),
@@ -163,11 +167,11 @@
 }
 
 /**
- * Whether the table's entries for this server's name are about the process at
- * this address. If an operator gave the server another address meanwhile,
- * they are about a process that may still hold its lease at the old one:
- * ordering the shards at the new address would give them two owners. They
- * wait until every older lease has lapsed.
+ * Whether the table's entries for this server's name refer to the process at
+ * its present address. If an operator has changed the server's address since,
+ * they refer to a process that may still have a lease at the old address:
+ * granting the shards at the new address would give them two owners. They wait
+ * until every earlier lease has expired.
  */
 function isAtTableAddress(table: ShardTable, task: LeaseTask): boolean {
   const {name, address} = task.server;
@@ -180,15 +184,15 @@
   if (known !== undefined) return known;
   const key = hotKeyOf(shard);
   if (key === null || map.findRange(key) === null) return null;
-  const slot = map.addHotKey(key);
+  const tracked = map.addHotKey(key);
   map.activateHotKey(key);
-  return slot;
+  return tracked;
 }
 
 function shardsOf(map: ShardMap, server: string): readonly ShardId[] {
   const shards: ShardId[] = [];
-  for (const slot of map.all()) {
-    if (slot.server === server) shards.push(slot.shard);
+  for (const tracked of map.all()) {
+    if (tracked.server === server) shards.push(tracked.shard);
   }
   return shards;
 }
--- a/packages/ownership/src/shard-locator.ts
+++ b/packages/ownership/src/shard-locator.ts
@@ -9,23 +9,27 @@
 } from './led-cell.js';
 import type {Grant} from './lease-grant.js';
 import type {LeaseTask} from './lease-task.js';
-import {type ShardMap, type TrackedShard, createDeferred} from './shard-table.js';
+import {
+  type ShardMap,
+  type TrackedShard,
+  createDeferred,
+} from './shard-table.js';
 
-/** Tells where keys are, and those who wait when that is settled. */
+/** Locates keys and resumes requests that wait until a shard can be served. */
 export interface ShardLocator {
   locate(key: string): Location;
-  isServable(slot: TrackedShard): boolean;
-  /** Stops dispatch; resolves when no request of the shard is in flight. */
-  pause(slot: TrackedShard, wait: GateWait): Promise<void>;
-  /** Ends a pause; requests go once the shard's server has its lease. */
-  resume(slot: TrackedShard): void;
-  /** Ends a pause for good: its requests look for their key elsewhere. */
-  retire(slot: TrackedShard): void;
-  /** Lets those go whose shard can be served now, or by nobody. */
+  isServable(tracked: TrackedShard): boolean;
+  /** Pauses dispatch; resolves when no request of the shard is in flight. */
+  pause(tracked: TrackedShard, wait: GateWait): Promise<void>;
+  /** Ends a pause; requests resume once the shard's server has its lease. */
+  resume(tracked: TrackedShard): void;
+  /** Ends the pause of a removed shard: its requests locate their key again. */
+  retire(tracked: TrackedShard): void;
+  /** Resumes waiters whose shard can be served now, or by no server at all. */
   resumeSettled(): void;
-  /** From now on locations are given out. */
+  /** Starts to return locations, after recovery. */
   start(): void;
-  /** Lets everybody go; no location is given out any more. */
+  /** Resumes all waiters; no location is returned any more. */
   stop(): void;
 }
 
@@ -40,8 +44,8 @@
 type Phase = 'recovering' | 'leading' | 'stopped';
 
 /**
- * Makes the locator of one cell. Its cost doesn't depend on the number of
- * shards or servers.
+ * Creates the locator of one cell. The cost of a lookup doesn't depend on the
+ * number of shards or servers.
  *
  * @example
  * ```ts
@@ -51,38 +55,39 @@
  */
 export function createShardLocator(options: ShardLocatorOptions): ShardLocator {
   const {cell, map, tasks, gate, clock} = options;
-  /** Slots that somebody waits for, or whose gate is closed. */
+  /** Shards that have waiters or whose gate is closed. */
   const unsettled = new Set<TrackedShard>();
   const closedGates = new Set<TrackedShard>();
   let phase: Phase = 'recovering';
 
   const locate = (key: string): Location => {
-    const slot = map.find(key);
-    if (slot === null) return unowned('', 'the key is not of this cell');
-    if (phase === 'stopped') return unowned(slot.shard, 'leader stopped');
-    if (phase === 'recovering') return moving(slot);
-    const task = slot.server === null ? undefined : tasks.get(slot.server);
+    const tracked = map.find(key);
+    if (tracked === null) return unowned('', 'the key belongs to another cell');
+    if (phase === 'stopped') return unowned(tracked.shard, 'leader stopped');
+    if (phase === 'recovering') return moving(tracked);
+    const task =
+      tracked.server === null ? undefined : tasks.get(tracked.server);
     const grant = task === undefined ? null : task.grant();
     if (
       task !== undefined &&
       grant !== null &&
-      !slot.isPaused &&
-      grant.shards.has(slot.shard) &&
+      !tracked.isPaused &&
+      grant.shards.has(tracked.shard) &&
       clock.now() < grant.leaseEnd
     ) {
       return {
         kind: 'owned',
-        shard: slot.shard,
+        shard: tracked.shard,
         server: task.server,
         fence: task.fence(),
         leaseEnd: grant.leaseEnd,
         checksFences: task.checksFences,
-        heldUntil: () => heldUntil(task, slot.shard, grant),
+        heldUntil: () => heldUntil(task, tracked.shard, grant),
         toServerTime: grant.toServerTime,
       };
     }
-    if (slot.isUnplaceable) return unowned(slot.shard, slot.reason);
-    return moving(slot);
+    if (tracked.isUnplaceable) return unowned(tracked.shard, tracked.reason);
+    return moving(tracked);
   };
 
   const heldUntil = (
@@ -92,56 +97,57 @@
   ): number => {
     if (phase === 'stopped') return Infinity;
     const {boot} = toServerTime(0);
-    const isSameRun = task.grant()?.toServerTime(0).boot === boot;
-    return isSameRun ? task.mayHoldUntil(shard) : -Infinity;
+    const isSameInstance = task.grant()?.toServerTime(0).boot === boot;
+    return isSameInstance ? task.mayHoldUntil(shard) : -Infinity;
   };
 
-  const moving = (slot: TrackedShard): Moving => {
-    slot.settled ??= createDeferred();
-    unsettled.add(slot);
+  const moving = (tracked: TrackedShard): Moving => {
+    tracked.settled ??= createDeferred();
+    unsettled.add(tracked);
     return {
       kind: 'moving',
-      shard: slot.shard,
-      settled: slot.settled.promise,
+      shard: tracked.shard,
+      settled: tracked.settled.promise,
     };
   };
 
-  const isServable = (slot: TrackedShard): boolean => {
-    if (phase !== 'leading' || slot.isPaused || slot.server === null) {
+  const isServable = (tracked: TrackedShard): boolean => {
+    if (phase !== 'leading' || tracked.isPaused || tracked.server === null) {
       return false;
     }
-    const grant = tasks.get(slot.server)?.grant();
-    if (!grant?.shards.has(slot.shard)) return false;
+    const grant = tasks.get(tracked.server)?.grant();
+    if (!grant?.shards.has(tracked.shard)) return false;
     return clock.now() < grant.leaseEnd;
   };
 
-  const resumeWaiters = (slot: TrackedShard): void => {
-    unsettled.delete(slot);
-    slot.settled?.resolve();
-    slot.settled = null;
-    if (closedGates.delete(slot)) gate.open(cell, slot.shard);
+  const resumeWaiters = (tracked: TrackedShard): void => {
+    unsettled.delete(tracked);
+    tracked.settled?.resolve();
+    tracked.settled = null;
+    if (closedGates.delete(tracked)) gate.open(cell, tracked.shard);
   };
 
   return {
     locate,
     isServable,
-    pause(slot, wait) {
-      slot.isPaused = true;
-      unsettled.add(slot);
-      closedGates.add(slot);
-      return gate.close(cell, slot.shard, wait);
+    pause(tracked, wait) {
+      tracked.isPaused = true;
+      unsettled.add(tracked);
+      closedGates.add(tracked);
+      return gate.close(cell, tracked.shard, wait);
     },
-    resume(slot) {
-      slot.isPaused = false;
-      if (isServable(slot)) resumeWaiters(slot);
+    resume(tracked) {
+      tracked.isPaused = false;
+      if (isServable(tracked)) resumeWaiters(tracked);
     },
-    retire(slot) {
-      slot.isPaused = false;
-      resumeWaiters(slot);
+    retire(tracked) {
+      tracked.isPaused = false;
+      resumeWaiters(tracked);
     },
     resumeSettled() {
-      for (const slot of unsettled) {
-        if (slot.isUnplaceable || isServable(slot)) resumeWaiters(slot);
+      for (const tracked of unsettled) {
+        if (tracked.isUnplaceable || isServable(tracked))
+          resumeWaiters(tracked);
       }
     },
     start() {
@@ -149,7 +155,7 @@
     },
     stop() {
       phase = 'stopped';
-      for (const slot of [...unsettled]) resumeWaiters(slot);
+      for (const tracked of [...unsettled]) resumeWaiters(tracked);
     },
   };
 }
--- a/packages/ownership/src/shard-table.ts
+++ b/packages/ownership/src/shard-table.ts
@@ -6,29 +6,29 @@
 import {untilAborted} from './condition.js';
 import type {ShardEntry, ShardState, ShardTable} from './table.js';
 
-/** One shard, as its leader keeps it. */
+/** One shard with the state that its leader keeps. */
 export interface TrackedShard {
   readonly shard: ShardId;
   state: ShardState;
   server: string | null;
   next: string | null;
-  /** Dispatch is stopped: the shard moves, splits or merges. */
+  /** Whether dispatch is paused because the shard moves, splits or merges. */
   isPaused: boolean;
-  /** No server can take it at present. */
+  /** Whether no server can take it at present. */
   isUnplaceable: boolean;
-  /** A handover, grant, split or merge is under way for it. */
+  /** Whether a handover, grant, split or merge of it is in progress. */
   isChanging: boolean;
-  /** Until then it is not stopped again for a change that can wait. */
+  /** Optional moves, splits and merges are postponed until this time. */
   postponedUntil: number;
   /** Monotonic time of its last move. */
   movedAt: number;
-  /** For operators: why it is where it is. */
+  /** Reason for its latest change of server, shown to operators. */
   reason: string;
-  /** Whoever waits until the shard can be served; null where nobody does. */
+  /** Resolves when the shard can be served; null if nothing waits for that. */
   settled: Deferred | null;
 }
 
-/** A promise that somebody else resolves. */
+/** A promise with its resolve function. */
 export interface Deferred {
   readonly promise: Promise<void>;
   readonly resolve: () => void;
@@ -42,41 +42,41 @@
   readonly index: number;
 }
 
-/** The cell's shards: its hash ranges and its hot keys. */
+/** All shards of a cell: hash ranges, and hot keys that were split off. */
 export interface ShardMap {
-  /** The slot of a key, or null where the key is another cell's. */
+  /** Returns the shard of a key, or null if the key belongs to another cell. */
   find(key: string): TrackedShard | null;
   get(shard: ShardId): TrackedShard | undefined;
-  /** The hash range that a key falls into, hot or not. */
+  /** Returns the hash range of a key, even if the key has its own shard. */
   findRange(key: string): TrackedShard | null;
   all(): Iterable<TrackedShard>;
   size(): number;
-  /** Hot keys that are shards of their own, with those that will be. */
+  /** Hot keys with a shard of their own, active or not yet. */
   hotKeys(): Iterable<string>;
-  /** Adds a hot key's slot; `find` yields it only after `expose`. */
+  /** Adds a shard for a hot key; `find` returns it after `activateHotKey`. */
   addHotKey(key: string): TrackedShard;
   activateHotKey(key: string): void;
-  /** From now on `find` yields the key's hash range again. */
+  /** Makes `find` return the key's hash range again. */
   deactivateHotKey(key: string): void;
-  /** Forgets a hot key's slot. */
+  /** Removes a hot key's shard. */
   removeHotKey(key: string): void;
 }
 
 const HOT_PREFIX = 'k:';
 
-/** The shard id of a hot key on its own. */
+/** Returns the id of the shard that holds only this hot key. */
 export function hotShardOf(key: string): ShardId {
   return `${HOT_PREFIX}${key}`;
 }
 
-/** The key of a hot key's shard, or null for a hash range. */
+/** Returns the key of a hot key's shard, or null for a hash range. */
 export function hotKeyOf(shard: ShardId): string | null {
   return shard.startsWith(HOT_PREFIX) ? shard.slice(HOT_PREFIX.length) : null;
 }
 
 /**
- * Makes the map of one cell's shards. Looking a key up takes one hash, and
- * one map access more while the cell has hot keys.
+ * Creates the map of one cell's shards. A lookup takes one hash, and one more
+ * map access while the cell has hot keys.
  *
  * @example
  * ```ts
@@ -94,15 +94,16 @@
   }
   const activeHotShards = new Map<string, TrackedShard>();
   const hotShards = new Map<string, TrackedShard>();
-  const byId = new Map(ranges.map(slot => [slot.shard, slot]));
+  const byId = new Map(ranges.map(tracked => [tracked.shard, tracked]));
 
   const findRange = (key: string): TrackedShard | null =>
     ranges[rangeOf(key, shards) - first] ?? null;
 
   return {
     find(key) {
-      const slot = activeHotShards.size === 0 ? undefined : activeHotShards.get(key);
-      return slot ?? findRange(key);
+      const tracked =
+        activeHotShards.size === 0 ? undefined : activeHotShards.get(key);
+      return tracked ?? findRange(key);
     },
     get: shard => byId.get(shard),
     findRange: findRange,
@@ -110,14 +111,14 @@
     size: () => byId.size,
     hotKeys: () => hotShards.keys(),
     addHotKey(key) {
-      const slot = createTrackedShard(hotShardOf(key));
-      byId.set(slot.shard, slot);
-      hotShards.set(key, slot);
-      return slot;
+      const tracked = createTrackedShard(hotShardOf(key));
+      byId.set(tracked.shard, tracked);
+      hotShards.set(key, tracked);
+      return tracked;
     },
     activateHotKey(key) {
-      const slot = hotShards.get(key);
-      if (slot !== undefined) activeHotShards.set(key, slot);
+      const tracked = hotShards.get(key);
+      if (tracked !== undefined) activeHotShards.set(key, tracked);
     },
     deactivateHotKey: key => void activeHotShards.delete(key),
     removeHotKey(key) {
@@ -128,13 +129,13 @@
   };
 }
 
-/** Puts each change of the table at the standby before it is carried out. */
+/** Records each change of the table at the standby before it takes effect. */
 export interface TableRecorder {
-  /** Notes that the table changed. */
+  /** Marks the table as changed since the last record. */
   markChanged(): void;
   /**
-   * Resolves to true once every change made so far is recorded; repeats what
-   * fails. False only when the signal aborts.
+   * Resolves to true once every change made so far is recorded; retries on
+   * failure. Resolves to false only if the signal aborts.
    */
   commit(): Promise<boolean>;
   /** The whole table as it is now. */
@@ -148,21 +149,21 @@
   readonly signal: AbortSignal;
   readonly fences: () => ReadonlyMap<string, Fence>;
   readonly addresses: () => ReadonlyMap<string, string>;
-  /** The version to go on from. */
+  /** Version of the first table; later versions count up from it. */
   readonly version: number;
 }
 
 const RECORD_RETRY_DELAY_MS = 50;
 
 /**
- * Makes the recorder of one cell's table. Changes made while one record is
- * under way share the next one.
+ * Creates the recorder of one cell's table. Changes made while a record is in
+ * progress are combined into the next one.
  *
  * @example
  * ```ts
- * slot.server = 'bed-3';
- * recorder.touch();
- * if (await recorder.commit()) task.add([slot.shard]);
+ * tracked.server = 'bed-3';
+ * recorder.markChanged();
+ * if (await recorder.commit()) task.add([tracked.shard]);
  * ```
  */
 export function createTableRecorder(
@@ -213,7 +214,7 @@
   };
 }
 
-/** Makes a promise that somebody else resolves. */
+/** Creates a promise that can be resolved from outside. */
 export function createDeferred(): Deferred {
   let resolve: () => void = () => {};
   const promise = new Promise<void>(done => {
@@ -233,12 +234,12 @@
     isChanging: false,
     postponedUntil: -Infinity,
     movedAt: -Infinity,
-    reason: 'not placed yet',
+    reason: 'not assigned yet',
     settled: null,
   };
 }
 
-function toEntry(slot: TrackedShard): ShardEntry {
-  const {shard, state, server, next} = slot;
+function toEntry(tracked: TrackedShard): ShardEntry {
+  const {shard, state, server, next} = tracked;
   return {shard, state, server, next};
 }
--- a/packages/ownership/src/table.ts
+++ b/packages/ownership/src/table.ts
@@ -1,10 +1,10 @@
 import type {CellId, Fence, Offset, ShardId} from '@banyandrum/base/ids.js';
 
 /**
- * Where one shard is.
+ * Ownership state of one shard.
  *
- * - `held`: `server` may serve it.
- * - `moving`: `server` may still serve it; it goes to `next` once released.
+ * - `held`: assigned to `server`, which may serve it.
+ * - `moving`: `server` may still serve it; `next` gets it once released.
  * - `free`: no server may serve it.
  */
 export type ShardState = 'held' | 'moving' | 'free';
@@ -16,18 +16,18 @@
   readonly next: string | null;
 }
 
-/** A cell's whole table, as its leader streams it to the standby. */
+/** The whole shard table of a cell, as its leader sends it to the standby. */
 export interface ShardTable {
   readonly cell: CellId;
   readonly epoch: Offset;
-  /** Grows with each change within the epoch. */
+  /** Increases with each change within the epoch. */
   readonly version: number;
   readonly entries: readonly ShardEntry[];
-  /** The highest fence used for each server, by name. */
+  /** Highest fence used for each server, by server name. */
   readonly fences: ReadonlyMap<string, Fence>;
   /**
-   * The address at which each server was led, by name. A server that has
-   * another one by now is another process.
+   * Address at which the leader granted leases to each server, by name. A
+   * server with another address now is another process.
    */
   readonly addresses?: ReadonlyMap<string, string>;
 }
