--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -178,7 +178,7 @@
   signal.addEventListener('abort', locator.stop);
   const unsubscribe = options.store.subscribe(() => wake.notify());
   const leading = lead().catch((err: unknown) => {
-    log.error('cell leadership failed', {cell, detail: String(err)});
+    log.error('leading the cell failed', {cell, detail: String(err)});
   });
 
   const stop = async (): Promise<ShardTable | null> => {
--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -99,7 +99,7 @@
     // In both cases the old server may continue to serve it.
     tracked.state = 'held';
     tracked.server = entry.server;
-    tracked.reason = 'inherited from the former leader';
+    tracked.reason = 'inherited with the table of the former leader';
   };
 
   const queryServers = async (): Promise<void> => {
--- a/packages/ownership/test/cell-leader.test.ts
+++ b/packages/ownership/test/cell-leader.test.ts
@@ -14,10 +14,10 @@
   {kind: 'not checking', checksFences: false},
 ];
 
-/** A key that the server owns now. */
+/** Returns a key that server a owns at present. */
 function keyAt(fixture: Fixture, owners: ReadonlyMap<string, string>): string {
   for (const [shard, name] of owners) if (name === 'a') return keyOf(+shard);
-  throw new Error(`nothing at a, ${fixture.clock.now()}`);
+  throw new Error(`server a owns no shard at ${fixture.clock.now()} ms`);
 }
 
 for (const {kind, checksFences} of KINDS) {
@@ -30,15 +30,12 @@
     t.equal(owners.size, SHARDS);
     for (const name of ['a', 'b', 'c']) {
       t.equal(led.shardsOf(name).length, SHARDS / 3);
-      const belief = fixture.fakes.get(name).activeLease('holds/0');
-      t.same(
-        [...(belief?.shards ?? [])].sort(),
-        [...led.shardsOf(name)].sort(),
-      );
+      const lease = fixture.fakes.get(name).activeLease('holds/0');
+      t.same([...(lease?.shards ?? [])].sort(), [...led.shardsOf(name)].sort());
     }
     t.equal(led.where(keyOf(3)), owners.get('3'));
     await fixture.advance(10_000);
-    t.same(led.owners(), owners, 'nothing moves by itself');
+    t.same(led.owners(), owners, 'no shard moves without a cause');
     t.same([...fixture.violations], []);
     await fixture.stop(led);
     t.equal(led.where(keyOf(3)), 'unowned');
@@ -63,7 +60,7 @@
   });
 }
 
-void tap.test('whichever sign of leaving comes first counts', async t => {
+void tap.test('any sign that a server is leaving empties it', async t => {
   const signs: Record<string, (fixture: Fixture) => void> = {
     'operator drains': ({drains}) => void drains.add('a'),
     'removed from the inventory': fixture => {
@@ -94,9 +91,9 @@
   }
 });
 
-// Every server says that it leaves, which can only be a mistake. The keys
-// stay where they are: nobody else could take them.
-void tap.test('a server that leaves keeps what nobody can take', async t => {
+// Every server is reported as leaving, which can only be a mistake. The shards
+// stay where they are, since no other server could take them.
+void tap.test('a leaving server keeps what no other can take', async t => {
   const fixture = createFixture({names: ['a']});
   const led = fixture.lead();
   await fixture.advance(5000);
@@ -106,7 +103,7 @@
   await fixture.stop(led);
 });
 
-void tap.test('a server that joins gets shards, more as it warms', async t => {
+void tap.test('a joining server gets more shards as it warms up', async t => {
   const fixture = createFixture({names: ['a', 'b']});
   const led = fixture.lead();
   await fixture.advance(40_000);
@@ -122,9 +119,9 @@
   await fixture.stop(led);
 });
 
-// A claim becomes contested: its key takes most of a server. It becomes a
-// shard of its own without leaving its server; then shards move. Later nobody
-// asks for it any more, and it becomes part of its hash range again.
+// One key uses most of a server. It becomes a shard of its own without leaving
+// its server, and other shards move away. When its load ends, it becomes part
+// of its hash range again.
 void tap.test('a hot key is split off and merged back', async t => {
   const fixture = createFixture();
   const led = fixture.lead();
@@ -137,7 +134,7 @@
   t.equal(led.owners().size, SHARDS + 1);
   await fixture.advance(20_000);
   t.equal(led.where(key), 'a', 'the hot key stays');
-  t.ok(led.shardsOf('a').length < SHARDS / 3, 'its neighbours go');
+  t.ok(led.shardsOf('a').length < SHARDS / 3, 'other shards move away');
   t.ok(led.recorded()?.entries.some(entry => entry.shard === `k:${key}`));
   fixture.load = createLoad();
   await fixture.advance(120_000);
@@ -150,11 +147,11 @@
   await fixture.stop(led);
 });
 
-void tap.test('long requests hold up only what must go', async t => {
-  // A report of 5 s runs for every shard. A server joins: its gain would be
-  // balance, so each shard's callers wait a second at most in half a minute,
-  // and the shards stay. An operator drains a server: its reports end in
-  // peace, its shards stay with it until then, and newcomers wait.
+void tap.test('long requests delay only mandatory moves', async t => {
+  // A request of 5 s runs for every shard. When a server joins, moves only
+  // improve balance: each shard's callers wait for at most 1 s in 30 s, and the
+  // shards stay. When an operator drains a server, its requests finish, its
+  // shards stay with it until then, and new requests wait.
   for (const checksFences of [true, false]) {
     const fixture = createFixture({names: ['a'], checksFences});
     const led = fixture.lead();
@@ -170,14 +167,14 @@
       }
     }
     t.same(led.shardsOf('c'), [], 'nothing moved');
-    t.ok(closed.size > 0, 'it was tried');
-    t.ok(Math.max(...closed.values()) <= 1100, 'for a second each');
+    t.ok(closed.size > 0, 'moves were attempted');
+    t.ok(Math.max(...closed.values()) <= 1100, 'for at most a second each');
     t.equal(led.gateClosed.size, 0);
     fixture.drains.add('a');
     await fixture.advance(4500);
-    t.equal(led.gateClosed.size, SHARDS, 'no new work for any');
-    const held = fixture.fakes.get('a').activeLease('holds/0')?.shards;
-    t.equal(held?.length, SHARDS, 'none has been taken');
+    t.equal(led.gateClosed.size, SHARDS, 'no new request is dispatched');
+    const leased = fixture.fakes.get('a').activeLease('holds/0')?.shards;
+    t.equal(leased?.length, SHARDS, 'no shard was released yet');
     await fixture.advance(15_000);
     t.same(led.shardsOf('a'), []);
     t.equal(led.owners().size, SHARDS);
@@ -187,9 +184,8 @@
 });
 
 // A key becomes a shard of its own while requests for it are in flight under
-// its hash range. Only once they have finished may it count as another shard:
-// that shard may go elsewhere at once, and a late request would then run at
-// two servers.
+// its hash range. The split must wait until they have finished: the new shard
+// may move at once, and a key with a late request would run at two servers.
 void tap.test('a split waits for requests in flight', async t => {
   const fixture = createFixture();
   const led = fixture.lead();
--- a/packages/ownership/test/fake-servers.ts
+++ b/packages/ownership/test/fake-servers.ts
@@ -1,4 +1,4 @@
-/** Backend servers simulated in memory, with faults on the way to them. */
+/** Simulates backend servers in memory, with network faults. */
 import {sleep} from '@banyandrum/base/clock.js';
 import {failure} from '@banyandrum/base/failure.js';
 import {
@@ -18,46 +18,46 @@
 } from '@banyandrum/servers/client.js';
 import type {ManualClock} from '@banyandrum/standins/manual-clock.js';
 
-/** What happens to one order on its way. */
+/** Network faults that affect one lease call. */
 export interface OrderFaults {
-  /** Never arrives. */
+  /** The call never arrives. */
   readonly lost?: boolean;
-  /** Arrives this much later than usual, in ms. */
+  /** Additional delay before it arrives, in ms. */
   readonly delayMs?: number;
-  /** Is obeyed, but its answer never arrives. */
+  /** The server applies it, but its answer is lost. */
   readonly ackLost?: boolean;
-  /** A second copy arrives this much after the first, in ms. */
+  /** Delay after which a duplicate arrives, in ms. */
   readonly duplicateAfterMs?: number;
 }
 
-/** A lease that a simulated server believes in. */
+/** A lease as a simulated server keeps it. */
 export interface ServerLease {
   readonly fence: Fence;
   readonly shards: readonly ShardId[];
-  /** On the server's own clock. */
+  /** Expiry on the server's own clock. */
   readonly endsAt: number;
 }
 
 /** One simulated server. */
 export interface FakeServer {
   readonly name: string;
-  /** Refuses connections: orders are proved not delivered. */
+  /** Refuses connections, so that lease calls are known not to be delivered. */
   down: boolean;
-  /** Takes orders in, and obeys them only once it is thawed. */
+  /** Accepts lease calls, but applies them only after `thaw`. */
   frozen: boolean;
   health: ServerHealth;
   faultsFor: (order: LeaseOrder) => OrderFaults;
-  /** Orders that were obeyed, in turn. */
+  /** Lease calls that were applied, in order. */
   readonly applied: LeaseOrder[];
-  /** Ends the run and starts another, which holds nothing. */
+  /** Replaces the instance by a new one without leases. */
   restart(): void;
-  /** Goes on with what came while it was frozen. */
+  /** Applies the lease calls that arrived while it was frozen. */
   thaw(): void;
   stamp(): Stamp;
   activeLease(cell: CellId): ServerLease | null;
   /**
-   * The latest end, on its own clock, of a lease of the shard that this run
-   * obeyed. A late order may have ended its belief earlier.
+   * Latest expiry, on its own clock, of any lease of the shard that this
+   * instance applied. A delayed lease call may have ended the lease earlier.
    */
   grantedUntil(cell: CellId, shard: ShardId): number;
 }
@@ -66,16 +66,16 @@
   readonly client: ServerClient;
   readonly servers: ReadonlyMap<string, FakeServer>;
   get(name: string): FakeServer;
-  /** Adds a server; its clock starts at its own time, at its own pace. */
+  /** Adds a server whose clock has its own offset and rate. */
   add(name: string): void;
 }
 
 export interface FakeServersOptions {
   readonly clock: ManualClock;
   readonly checksFences: boolean;
-  /** Each server's clock against the test's; 1 by default. */
+  /** Rate of each server's clock relative to the test's clock; 1 by default. */
   readonly clockRateOf?: ((name: string) => number) | undefined;
-  /** Called each time a server has obeyed an order. */
+  /** Called each time a server has applied a lease call. */
   readonly onApplied: (server: FakeServer) => void;
 }
 
@@ -84,9 +84,9 @@
 
 const LATENCY_MS = 1;
 
-/** Makes the simulated servers of one service. */
+/** Creates the simulated servers of one service. */
 export function createFakeServers(options: FakeServersOptions): FakeServers {
-  const {clock, clockRateOf: paceOf = () => 1} = options;
+  const {clock, clockRateOf = () => 1} = options;
   const servers = new Map<string, FakeServer>();
   const receivers = new Map<string, Receive>();
 
@@ -98,23 +98,28 @@
 
   const add = (name: string): void => {
     const start = 1000 * servers.size;
-    const time = (): number => start + clock.now() * paceOf(name);
-    const {server, receive: arrive} = createServer(name, options, time);
+    const time = (): number => start + clock.now() * clockRateOf(name);
+    const {server, receive} = createServer(name, options, time);
     servers.set(name, server);
-    receivers.set(name, arrive);
+    receivers.set(name, receive);
   };
 
   const deliver = (name: string, message: LeaseOrder): Promise<Answer> => {
-    const {lost, delayMs = 0, ackLost, duplicateAfterMs: copyAfterMs} = get(name).faultsFor(message);
-    const arrive = receivers.get(name);
+    const {
+      lost,
+      delayMs = 0,
+      ackLost,
+      duplicateAfterMs,
+    } = get(name).faultsFor(message);
+    const receive = receivers.get(name);
     return new Promise(resolve => {
-      if (lost || arrive === undefined) return;
+      if (lost || receive === undefined) return;
       clock.after(delayMs, () => {
-        void arrive(message).then(answer => {
+        void receive(message).then(answer => {
           if (!ackLost) resolve(answer);
         });
-        if (copyAfterMs === undefined) return;
-        clock.after(copyAfterMs, () => void arrive(message));
+        if (duplicateAfterMs === undefined) return;
+        clock.after(duplicateAfterMs, () => void receive(message));
       });
     });
   };
@@ -174,8 +179,8 @@
       return Err({kind: 'fenced', detail: 'lower fence', fence: known});
     }
     const endsAt = echo.ms + order.ttlMs;
-    const isOver = echo.boot !== stamp().boot || endsAt <= time();
-    if (isOver) return report(cell);
+    const isExpired = echo.boot !== stamp().boot || endsAt <= time();
+    if (isExpired) return report(cell);
     leases.set(cell, {fence, shards, endsAt});
     server.applied.push(order);
     options.onApplied(server);
@@ -208,12 +213,12 @@
     },
     thaw() {
       server.frozen = false;
-      const waiting = untilThawed;
+      const pending = untilThawed;
       untilThawed = [];
-      for (const go of waiting) go();
+      for (const resume of pending) resume();
     },
     stamp,
-    activeLease: activeLease,
+    activeLease,
     grantedUntil: (cell, shard) =>
       Math.max(
         -Infinity,
@@ -224,14 +229,15 @@
       ),
   };
 
-  const arrive: Receive = async order => {
+  const receive: Receive = async order => {
     const target = instance;
-    if (server.frozen) await new Promise<void>(go => untilThawed.push(go));
+    if (server.frozen)
+      await new Promise<void>(resume => untilThawed.push(resume));
     if (target !== instance || server.down) return fail('unknown');
     return apply(order);
   };
 
-  return {server, receive: arrive};
+  return {server, receive};
 }
 
 function fail(kind: 'unreachable' | 'unknown'): Result<never, ServerError> {
--- a/packages/ownership/test/ownership-checker.ts
+++ b/packages/ownership/test/ownership-checker.ts
@@ -3,14 +3,15 @@
 import type {CellLeader} from '@banyandrum/ownership/cell-leader.js';
 import type {FakeServers} from './fake-servers.js';
 
-/** Looks at what servers believe, not at what the leader says of them. */
+/** Checks the leases that servers have, not what the leader assumes. */
 export interface OwnershipChecker {
   readonly violations: ReadonlySet<string>;
-  /** No shard may have two servers that believe they own it. */
+  /** Checks that no shard is leased to two servers. */
   checkLeases(fakes: FakeServers): void;
   /**
-   * Wherever a leader would send a key, no other server may own the key under
-   * any shard id, and its deadline must end before the server's lease.
+   * Checks for each key that the leader would send to a server that no other
+   * server has a lease for the key under any shard id, and that the deadline
+   * doesn't exceed the server's lease.
    */
   checkLocations(led: LeaderUnderTest, fakes: FakeServers): void;
 }
@@ -19,7 +20,7 @@
   readonly leader: CellLeader;
 }
 
-/** Keys that are looked up at each step: some for each hash range. */
+/** Keys that are located at each step: several for each hash range. */
 const KEYS = Array.from({length: 36}, (_, index) => `ward-${index}`);
 
 export function createOwnershipChecker(
--- a/packages/ownership/test/pausable.ts
+++ b/packages/ownership/test/pausable.ts
@@ -1,17 +1,20 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {ServerClient} from '@banyandrum/servers/client.js';
 
-/** One process among several in a test: it can be paused and go on. */
+/** Simulated process that a test can pause and resume. */
 export interface PausableProcess {
   readonly clock: Clock;
   readonly client: ServerClient;
   pause(): void;
-  /** Timers that came due meanwhile run now, answers arrive now. */
+  /** Runs timers and delivers answers that became due during the pause. */
   resume(): void;
 }
 
-/** Wraps what a process sees of the world. */
-export function createPausableProcess(clock: Clock, client: ServerClient): PausableProcess {
+/** Wraps the clock and the server client of a process. */
+export function createPausableProcess(
+  clock: Clock,
+  client: ServerClient,
+): PausableProcess {
   let paused = false;
   let waiting: (() => void)[] = [];
 
--- a/packages/ownership/test/random-schedule.ts
+++ b/packages/ownership/test/random-schedule.ts
@@ -1,4 +1,4 @@
-/** Random faults and changes, the same ones for the same seed. */
+/** Random faults and changes, reproducible by seed. */
 import type {FakeServer, OrderFaults} from './fake-servers.js';
 import {
   type Fixture,
@@ -8,18 +8,19 @@
   toServer,
 } from './lease-fixture.js';
 
-/** What a schedule came to. */
+/** Result of a schedule. */
 export interface ScheduleResult {
   readonly violations: readonly string[];
-  /** Shards that can be served, and all shards, after everything healed. */
+  /** Number of shards that can be served after all faults have ended. */
   readonly served: number;
+  /** Number of all shards. */
   readonly shards: number;
   readonly leaders: number;
 }
 
 type Random = (below: number) => number;
 
-/** What the actions of a schedule work on. */
+/** State that the actions of a schedule work on. */
 interface ScheduleState {
   readonly fixture: Fixture;
   readonly random: Random;
@@ -29,27 +30,29 @@
   epoch: number;
 }
 
-type Action = (scene: ScheduleState) => void | Promise<void>;
+type Action = (state: ScheduleState) => void | Promise<void>;
 
 const NAMES = ['a', 'b', 'c', 'd'];
 const HOT_KEYS = ['ward-1', 'ward-2', 'ward-3'];
 const RECOVERY_MS = 12_000;
 
-/** Runs a schedule of `steps` actions, heals everything, and looks. */
+/** Runs a schedule of `steps` actions, then ends all faults. */
 export async function runSchedule(
   seed: number,
   checksFences: boolean,
   steps: number,
 ): Promise<ScheduleResult> {
   const random = createRandom(seed);
-  const paces = new Map(NAMES.map(name => [name, 0.99 + random(21) / 1000]));
+  const clockRates = new Map(
+    NAMES.map(name => [name, 0.99 + random(21) / 1000]),
+  );
   const fixture = createFixture({
     names: NAMES,
     checksFences,
-    paceOf: name => paces.get(name) ?? 1,
+    paceOf: name => clockRates.get(name) ?? 1,
   });
   const led = fixture.lead();
-  const scene: ScheduleState = {
+  const state: ScheduleState = {
     fixture,
     random,
     checksFences,
@@ -60,19 +63,20 @@
   await fixture.advance(3000);
   for (let step = 0; step < steps; step++) {
     const action = ACTIONS[random(ACTIONS.length)];
-    await action?.(scene);
+    await action?.(state);
     await fixture.advance(20 * random(30));
   }
-  heal(scene);
+  heal(state);
   await fixture.advance(RECOVERY_MS);
-  const {shards} = scene.led.leader.describe();
+  const {shards} = state.led.leader.describe();
   const result: ScheduleResult = {
     violations: [...fixture.violations],
-    served: scene.led.owners().size,
+    served: state.led.owners().size,
     shards: shards.length,
-    leaders: scene.epoch,
+    leaders: state.epoch,
   };
-  for (const each of [...scene.formerLeaders, scene.led]) await fixture.stop(each);
+  for (const each of [...state.formerLeaders, state.led])
+    await fixture.stop(each);
   return result;
 }
 
@@ -99,58 +103,61 @@
   return fixture.fakes.get(NAMES[random(NAMES.length)] ?? 'a');
 }
 
-function setOrderFaults(scene: ScheduleState): void {
-  const {random, checksFences} = scene;
-  const part = random(3) * 20;
-  pickServer(scene).faultsFor = () =>
-    random(100) < part ? randomFaults(random, checksFences) : {};
+function setOrderFaults(state: ScheduleState): void {
+  const {random, checksFences} = state;
+  const percent = random(3) * 20;
+  pickServer(state).faultsFor = () =>
+    random(100) < percent ? randomFaults(random, checksFences) : {};
 }
 
 /**
- * A server that doesn't check fences gets a second copy only of an order that
- * it never answered: nothing between it and the leader repeats an answered one.
+ * A server that doesn't check fences gets a duplicate only of a lease call
+ * whose answer was lost: nothing between it and the leader repeats a call that
+ * was answered.
  */
 function randomFaults(random: Random, checksFences: boolean): OrderFaults {
   const ackLost = random(3) === 0;
-  const copies = checksFences || ackLost;
+  const mayDuplicate = checksFences || ackLost;
   return {
     lost: random(4) === 0,
     ackLost,
     delayMs: random(2) === 0 ? random(2500) : 0,
-    ...(copies && random(3) === 0 ? {duplicateAfterMs: random(2500)} : {}),
+    ...(mayDuplicate && random(3) === 0
+      ? {duplicateAfterMs: random(2500)}
+      : {}),
   };
 }
 
-/** One server gets no orders of the newest leader; a former one's go on. */
-function cutOffNewestLeader(scene: ScheduleState): void {
-  const {epoch} = scene;
-  pickServer(scene).faultsFor = ({fence}) => ({lost: fence.epoch >= epoch});
+/** Drops lease calls to one server from the newest leader only. */
+function cutOffNewestLeader(state: ScheduleState): void {
+  const {epoch} = state;
+  pickServer(state).faultsFor = ({fence}) => ({lost: fence.epoch >= epoch});
 }
 
-function toggleFrozen(scene: ScheduleState): void {
-  const server = pickServer(scene);
+function toggleFrozen(state: ScheduleState): void {
+  const server = pickServer(state);
   if (server.frozen) server.thaw();
   else server.frozen = true;
 }
 
-function restart(scene: ScheduleState): void {
-  pickServer(scene).restart();
+function restart(state: ScheduleState): void {
+  pickServer(state).restart();
 }
 
-function toggleDown(scene: ScheduleState): void {
-  const server = pickServer(scene);
+function toggleDown(state: ScheduleState): void {
+  const server = pickServer(state);
   server.down = !server.down;
 }
 
-function toggleDrain(scene: ScheduleState): void {
-  const {name} = pickServer(scene);
-  const {drains} = scene.fixture;
+function toggleDrain(state: ScheduleState): void {
+  const {name} = pickServer(state);
+  const {drains} = state.fixture;
   if (!drains.delete(name)) drains.add(name);
 }
 
-function toggleListed(scene: ScheduleState): void {
-  const {name} = pickServer(scene);
-  const {fixture} = scene;
+function toggleListed(state: ScheduleState): void {
+  const {name} = pickServer(state);
+  const {fixture} = state;
   const rest = fixture.servers.filter(server => server.name !== name);
   const isListed = rest.length < fixture.servers.length;
   fixture.servers = isListed ? rest : [...rest, toServer(name)];
@@ -167,7 +174,11 @@
   led.authority.records = !led.authority.records;
 }
 
-async function pauseLeader({fixture, led, random}: ScheduleState): Promise<void> {
+async function pauseLeader({
+  fixture,
+  led,
+  random,
+}: ScheduleState): Promise<void> {
   led.process.pause();
   led.authority.until = fixture.clock.now() + 1000;
   await fixture.advance(20 * random(150));
@@ -175,36 +186,41 @@
   led.authority.until = Infinity;
 }
 
-/** The old leader goes on, perhaps paused, until its authority ends. */
-function takeOver(scene: ScheduleState): void {
-  const {fixture, random, led} = scene;
+/** Starts a new leader; the old one runs or pauses until its authority ends. */
+function takeOver(state: ScheduleState): void {
+  const {fixture, random, led} = state;
   const table = random(3) === 0 ? null : led.recorded();
-  const left = random(1000);
+  const remainingMs = random(1000);
   led.authority.records = false;
-  led.authority.until = fixture.clock.now() + left;
+  led.authority.until = fixture.clock.now() + remainingMs;
   if (random(2) === 0) led.process.pause();
-  scene.formerLeaders.push(led);
-  const over = Math.max(...scene.formerLeaders.map(each => each.authority.until));
+  state.formerLeaders.push(led);
+  const authorityEnd = Math.max(
+    ...state.formerLeaders.map(each => each.authority.until),
+  );
   const cleared = new Promise<void>(resolve => {
-    fixture.clock.after(over - fixture.clock.now(), resolve);
+    fixture.clock.after(authorityEnd - fixture.clock.now(), resolve);
   });
-  scene.led = fixture.lead({epoch: ++scene.epoch, table, cleared});
+  state.led = fixture.lead({epoch: ++state.epoch, table, cleared});
 }
 
-async function handOverAsPlanned(scene: ScheduleState): Promise<void> {
-  const {fixture, led} = scene;
+async function handOverAsPlanned(state: ScheduleState): Promise<void> {
+  const {fixture, led} = state;
   led.authority.until = fixture.clock.now();
   const table = await fixture.stop(led);
-  // Those before it may still act: it can clear no more than itself.
-  const over = Math.max(0, ...scene.formerLeaders.map(each => each.authority.until));
+  // Leaders before it may still act: its end clears only itself.
+  const authorityEnd = Math.max(
+    0,
+    ...state.formerLeaders.map(each => each.authority.until),
+  );
   const cleared = new Promise<void>(resolve => {
-    fixture.clock.after(over - fixture.clock.now(), resolve);
+    fixture.clock.after(authorityEnd - fixture.clock.now(), resolve);
   });
-  scene.led = fixture.lead({epoch: ++scene.epoch, table, cleared});
+  state.led = fixture.lead({epoch: ++state.epoch, table, cleared});
 }
 
-function heal({fixture, formerLeaders: former, led}: ScheduleState): void {
-  for (const each of former) each.process.resume();
+function heal({fixture, formerLeaders, led}: ScheduleState): void {
+  for (const each of formerLeaders) each.process.resume();
   led.authority.records = true;
   fixture.drains.clear();
   fixture.servers = NAMES.map(toServer);
--- a/packages/ownership/test/random.test.ts
+++ b/packages/ownership/test/random.test.ts
@@ -10,72 +10,80 @@
 const STEPS = 150;
 const MAX_STEP_MS = 800;
 const MAX_FAULTS = 4;
-/** Two clocks differ by less than the 1 % that the rules allow for. */
+/** Any two clocks differ by less than the 1 % drift that the rules allow. */
 const RATES = [0.9955, 1, 1.002, 1.0045];
 const SETTLE_MS = 20_000;
 
-// Callers must never be served by two owners, whatever fails in whatever
-// order: links cut one way, processes paused, lost and started anew, the log
-// refusing, losing replies and taking appends late, up to four of these at
-// once. When everything is well again, every cell must be led again.
+// Callers must never be served by two owners, whatever fails in any order:
+// links cut in one direction, processes paused, killed and restarted, and a log
+// that refuses appends, loses replies or applies appends late, with up to four
+// faults at once. After all faults have ended, every cell must have a leader.
 for (const seed of SEEDS) {
   void tap.test(`random faults, seed ${seed}`, async t => {
     const random = createRandom(seed);
     const checksFences = seed % 2 === 0;
-    const world = createFakeCluster({
+    const cluster = createFakeCluster({
       ...{hosts: HOSTS, cells: CELLS.length, random, checksFences},
       ...{rates: RATES, changeMs: 200},
     });
-    world.network.latency = () => 1 + Math.floor(random() * 30);
-    await world.clock.advance(3000);
-    await injectFaults(world, random);
-    t.strictSame(world.violations, []);
-    await world.clock.advance(SETTLE_MS);
-    t.strictSame(world.violations, [], 'nor when all is well again');
-    for (const cell of CELLS) t.ok(world.activeLeader(cell), `${cell} is led again`);
-    t.ok(world.leaders.length > 2 * CELLS.length, 'leadership did change');
+    cluster.network.latency = () => 1 + Math.floor(random() * 30);
+    await cluster.clock.advance(3000);
+    await injectFaults(cluster, random);
+    t.strictSame(cluster.violations, []);
+    await cluster.clock.advance(SETTLE_MS);
+    t.strictSame(
+      cluster.violations,
+      [],
+      'none after the faults have ended either',
+    );
+    for (const cell of CELLS)
+      t.ok(cluster.activeLeader(cell), `${cell} has a leader again`);
+    t.ok(cluster.leaders.length > 2 * CELLS.length, 'leadership did change');
   });
 }
 
-/** Starts and ends faults at random; all are over in the end. */
-async function injectFaults(world: FakeCluster, random: () => number): Promise<void> {
+/** Starts and ends faults at random, then ends those that remain. */
+async function injectFaults(
+  cluster: FakeCluster,
+  random: () => number,
+): Promise<void> {
   const ongoing: (() => void)[] = [];
   for (let step = 0; step < STEPS; step++) {
     const starts = random() * MAX_FAULTS > ongoing.length;
-    if (starts) ongoing.push(pick(random, FAULTS)(world, random));
+    if (starts) ongoing.push(pick(random, FAULTS)(cluster, random));
     else ongoing.splice(Math.floor(random() * ongoing.length), 1)[0]?.();
-    await world.clock.advance(random() * MAX_STEP_MS);
-    if (world.violations.length > 0) return;
+    await cluster.clock.advance(random() * MAX_STEP_MS);
+    if (cluster.violations.length > 0) return;
   }
-  for (const mend of ongoing) mend();
+  for (const end of ongoing) end();
 }
 
-/** Brings a fault about; yields how to end it. */
-type Fault = (world: FakeCluster, random: () => number) => () => void;
+/** Starts a fault; returns a function that ends it. */
+type Fault = (cluster: FakeCluster, random: () => number) => () => void;
 
 const FAULTS: readonly Fault[] = [
   cutLink,
   cutLink,
   isolatePair,
-  (world, random) => isolate(world, [pick(random, HOSTS)]),
+  (cluster, random) => isolate(cluster, [pick(random, HOSTS)]),
   pause,
   killProcess,
-  (world, random) => {
-    world.start(pick(random, HOSTS));
+  (cluster, random) => {
+    cluster.start(pick(random, HOSTS));
     return () => {};
   },
-  world => {
-    world.faults.refuses = true;
-    return () => void (world.faults.refuses = false);
+  cluster => {
+    cluster.faults.refuses = true;
+    return () => void (cluster.faults.refuses = false);
   },
-  world => {
-    world.faults.losesReplies = true;
-    return () => void (world.faults.losesReplies = false);
+  cluster => {
+    cluster.faults.losesReplies = true;
+    return () => void (cluster.faults.losesReplies = false);
   },
-  (world, random) => {
-    world.faults.appendDelay = () =>
+  (cluster, random) => {
+    cluster.faults.appendDelay = () =>
       random() < 0.5 ? 0 : Math.floor(random() * 6000);
-    return () => void (world.faults.appendDelay = () => 0);
+    return () => void (cluster.faults.appendDelay = () => 0);
   },
   faultAtNextAppend,
   faultAtNextAppend,
@@ -83,62 +91,66 @@
 ];
 
 /**
- * The worst moment for most faults: a claim is in the log, and hardly anybody
- * knows. Faults at random times hardly ever meet it.
+ * Starts a fault at the worst moment for most faults: a claim has just been
+ * appended to the log, and few routers know. Faults at random times rarely
+ * coincide with that.
  */
-function faultAtNextAppend(world: FakeCluster, random: () => number): () => void {
-  let mend = (): void => {};
-  world.faults.onAppend = host => {
-    world.faults.onAppend = () => {};
+function faultAtNextAppend(
+  cluster: FakeCluster,
+  random: () => number,
+): () => void {
+  let endFault = (): void => {};
+  cluster.faults.onAppend = host => {
+    cluster.faults.onAppend = () => {};
     const isOfClaimant = random() < 0.5;
     const faults = [isolatePair, pause, killProcess, cutLink];
-    mend = isOfClaimant
-      ? isolate(world, [host, pick(random, HOSTS)])
-      : pick(random, faults)(world, random);
+    endFault = isOfClaimant
+      ? isolate(cluster, [host, pick(random, HOSTS)])
+      : pick(random, faults)(cluster, random);
   };
   return () => {
-    world.faults.onAppend = () => {};
-    mend();
+    cluster.faults.onAppend = () => {};
+    endFault();
   };
 }
 
-/** Two that hear each other, but neither the log nor the others. */
-function isolatePair(world: FakeCluster, random: () => number): () => void {
-  const view = viewOf(world, pick(random, CELLS));
+/** Isolates two routers, connected to each other, from all other nodes. */
+function isolatePair(cluster: FakeCluster, random: () => number): () => void {
+  const view = viewOf(cluster, pick(random, CELLS));
   const isInRole = random() < 0.7 && view !== null && view.standby !== null;
   const pair = isInRole
     ? [view.leader.host, view.standby.host]
     : [pick(random, HOSTS), pick(random, HOSTS)];
-  return isolate(world, pair);
+  return isolate(cluster, pair);
 }
 
-function pause(world: FakeCluster, random: () => number): () => void {
-  const {process} = world.router(pick(random, HOSTS));
+function pause(cluster: FakeCluster, random: () => number): () => void {
+  const {process} = cluster.router(pick(random, HOSTS));
   process.pause();
   return () => process.resume();
 }
 
-function killProcess(world: FakeCluster, random: () => number): () => void {
+function killProcess(cluster: FakeCluster, random: () => number): () => void {
   const host = pick(random, HOSTS);
-  world.router(host).process.kill();
+  cluster.router(host).process.kill();
   return () => {
-    if (!world.router(host).process.isAlive()) world.start(host);
+    if (!cluster.router(host).process.isAlive()) cluster.start(host);
   };
 }
 
-function cutLink(world: FakeCluster, random: () => number): () => void {
+function cutLink(cluster: FakeCluster, random: () => number): () => void {
   const nodes = [...HOSTS, LOG];
   const from = pick(random, nodes);
   const to = pick(random, nodes);
-  world.network.cut(from, to);
-  return () => world.network.restore(from, to);
+  cluster.network.cut(from, to);
+  return () => cluster.network.restore(from, to);
 }
 
 function pick<T>(random: () => number, items: readonly T[]): T {
   return items[Math.floor(random() * items.length)] as T;
 }
 
-/** A seeded generator (mulberry32), the same numbers every run. */
+/** Creates a seeded random number generator (mulberry32). */
 function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
--- a/packages/ownership/test/support/fake-log.ts
+++ b/packages/ownership/test/support/fake-log.ts
@@ -16,22 +16,22 @@
 /** The records of the fake log; a record's offset is its index plus one. */
 export type FakeLog = Uint8Array[];
 
-/** How the log treats the next appends. */
+/** Faults that the log applies to the next requests. */
 export interface LogFaults {
-  /** Refuses, so that appends are proved not applied. */
+  /** Refuses requests, so that appends are known not to be applied. */
   refuses: boolean;
-  /** Takes appends but loses the replies. */
+  /** Applies appends but loses the replies. */
   losesReplies: boolean;
-  /** Called in the moment in which an append of a host takes effect. */
+  /** Called at the moment when an append of a host takes effect. */
   onAppend: (host: string) => void;
-  /** Further delay of an append on its way, in ms. */
+  /** Additional delay of an append before it arrives, in ms. */
   appendDelay: () => number;
 }
 
 const POLL_MS = 100;
 const REPLY_MS = 1000;
 
-/** One process's reading of the fake log, over the network. */
+/** Creates a process's store, which reads the fake log over the network. */
 export function createFakeStore(
   process: FakeProcess,
   network: Network,
--- a/packages/ownership/test/support/network.ts
+++ b/packages/ownership/test/support/network.ts
@@ -10,22 +10,22 @@
 import type {ControlHandlers, PeerError} from '@banyandrum/routers/peers.js';
 import type {FakeProcess} from './process.js';
 
-/** One-way links between hosts (and the log), each up or cut. */
+/** One-way links between the hosts and the log, each of which can be cut. */
 export interface Network {
-  /** Time that a message takes, in ms; changed by tests. */
+  /** Latency of a message, in ms; tests may replace it. */
   latency: (from: string, to: string) => number;
   cut(from: string, to: string): void;
   restore(from: string, to: string): void;
   heal(): void;
-  /** Whether what a host asks of another gets through; answers do. */
+  /** Whether a host's requests reach another; doesn't affect answers. */
   allowsRequests: (from: string, to: string) => boolean;
-  /** Carries a message; it is lost where the link is cut on arrival. */
+  /** Sends a message; it is lost if the link is cut on departure or arrival. */
   send(from: string, to: string, task: () => void): void;
-  /** Keeps a message on its way for longer. */
+  /** Delays the delivery of a message further. */
   delay(ms: number, task: () => void): void;
 }
 
-export function createNetwork(world: Clock): Network {
+export function createNetwork(clusterClock: Clock): Network {
   const cuts = new Set<string>();
   const isCut = (from: string, to: string): boolean =>
     cuts.has(`${from}>${to}`);
@@ -35,10 +35,10 @@
     cut: (from, to) => void cuts.add(`${from}>${to}`),
     restore: (from, to) => void cuts.delete(`${from}>${to}`),
     heal: () => cuts.clear(),
-    delay: (ms, task) => void world.after(ms, task),
+    delay: (ms, task) => void clusterClock.after(ms, task),
     send(from, to, task) {
       if (isCut(from, to)) return;
-      world.after(network.latency(from, to), () => {
+      clusterClock.after(network.latency(from, to), () => {
         if (!isCut(from, to)) task();
       });
     },
@@ -46,7 +46,7 @@
   return network;
 }
 
-/** What a network needs to know of the router at an address. */
+/** The router at an address, as the network sees it. */
 export interface Endpoint {
   readonly process: FakeProcess;
   readonly handlers: () => ControlHandlers<OwnershipControl>;
@@ -54,7 +54,7 @@
 
 type Kind = keyof OwnershipControl & string;
 
-/** The way of one process to all endpoints, by address. */
+/** Creates the client of one process for the endpoints, by address. */
 export function createFakePeers(
   process: FakeProcess,
   network: Network,
@@ -62,7 +62,7 @@
 ): OwnershipPeers {
   const self = process.incarnation;
 
-  // Resolves with the first of the answer and the timeout.
+  // Resolves with the answer or on the timeout, whichever comes first.
   const exchange = <T>(
     address: string,
     timeoutMs: number,
@@ -108,7 +108,9 @@
     ) => Promise<unknown>;
     const answer = await handler(self, parsed);
     return Ok(
-      answerSchema.parse(jsonRoundTrip(answer)) as OwnershipControl[K]['answer'],
+      answerSchema.parse(
+        jsonRoundTrip(answer),
+      ) as OwnershipControl[K]['answer'],
     );
   };
 
--- a/packages/ownership/test/support/process.ts
+++ b/packages/ownership/test/support/process.ts
@@ -7,35 +7,35 @@
   readonly clock: Clock;
   isAlive(): boolean;
   isPaused(): boolean;
-  /** Timers and messages wait from now on; the clock runs on. */
+  /** Holds back timers and messages; the clock continues. */
   pause(): void;
-  /** Runs what waited: the timers first, then the messages, as Node does. */
+  /** Runs the timers that were held back, then the messages, as Node does. */
   resume(): void;
   kill(): void;
-  /** Makes the clock go faster or slower from now on. */
+  /** Changes the rate of the clock. */
   setRate(rate: number): void;
   /** Hands a message to the process. */
   deliver(task: () => void): void;
 }
 
 export function createFakeProcess(
-  world: Clock,
+  clusterClock: Clock,
   incarnation: Incarnation,
   firstRate = 1,
 ): FakeProcess {
   let rate = firstRate;
-  // Local time is base + (world time - since) * rate.
-  let base = world.now() * rate;
-  let since = world.now();
+  // Local time is base + (cluster time - since) * rate.
+  let base = clusterClock.now() * rate;
+  let since = clusterClock.now();
   let alive = true;
   let paused = false;
   const dueTimers = new Set<() => void>();
   let inbox: (() => void)[] = [];
 
-  const now = (): number => base + (world.now() - since) * rate;
+  const now = (): number => base + (clusterClock.now() - since) * rate;
 
   const after = (ms: number, task: () => void): CancelTimer => {
-    const cancel = world.after(ms / rate, () => {
+    const cancel = clusterClock.after(ms / rate, () => {
       if (!alive) return;
       if (paused) dueTimers.add(task);
       else task();
@@ -66,7 +66,7 @@
     kill: () => void (alive = false),
     setRate(next) {
       base = now();
-      since = world.now();
+      since = clusterClock.now();
       rate = next;
     },
     deliver(task) {
--- a/packages/ownership/test/support/scene.ts
+++ b/packages/ownership/test/support/scene.ts
@@ -3,50 +3,53 @@
 import type {FakeCluster, FakeClusterOptions} from './world.js';
 import {CELL, createFakeCluster} from './world.js';
 
-/** A cell that is led, in steady state, and who has which role in it. */
+/** A cluster in steady state, with the hosts of a cell's leader and standby. */
 export interface CellHarness {
   readonly cluster: FakeCluster;
   readonly leader: string;
   readonly standby: string;
 }
 
-/** Starts routers and waits until the first cell has leader and standby. */
+/** Starts routers and waits until the first cell has a leader and a standby. */
 export async function createCellHarness(
   hosts: readonly string[],
   options: Omit<FakeClusterOptions, 'hosts'> = {},
 ): Promise<CellHarness> {
-  const world = createFakeCluster({hosts, ...options});
+  const cluster = createFakeCluster({hosts, ...options});
   const isReady = (): boolean =>
-    world.activeLeader() !== null && Boolean(viewOf(world)?.standby);
-  await world.waitUntil(isReady, 5000);
-  await world.clock.advance(1000);
-  const view = viewOf(world);
-  if (!view?.standby) throw new Error('no leader and standby');
-  return {cluster: world, leader: view.leader.host, standby: view.standby.host};
+    cluster.activeLeader() !== null && Boolean(viewOf(cluster)?.standby);
+  await cluster.waitUntil(isReady, 5000);
+  await cluster.clock.advance(1000);
+  const view = viewOf(cluster);
+  if (!view?.standby) throw new Error('the cell has no leader with a standby');
+  return {cluster, leader: view.leader.host, standby: view.standby.host};
 }
 
-/** The newest view that any router knows. */
-export function viewOf(world: FakeCluster, cell = CELL): View | null {
-  const views = world.hosts.map(({name}) =>
-    world.router(name).ownership.leaderOf(cell),
+/** Returns the newest view of the cell that any router knows. */
+export function viewOf(cluster: FakeCluster, cell = CELL): View | null {
+  const views = cluster.hosts.map(({name}) =>
+    cluster.router(name).ownership.leaderOf(cell),
   );
   const newest = Math.max(...views.map(view => view?.epoch ?? 0));
   return views.find(view => view?.epoch === newest) ?? null;
 }
 
-/** Cuts a group off from the log and all others; yields how to mend it. */
-export function isolate(world: FakeCluster, group: readonly string[]): () => void {
-  const nodes = [LOG, ...world.hosts.map(({name}) => name)];
+/** Isolates hosts from the log and all others; returns a function to undo it. */
+export function isolate(
+  cluster: FakeCluster,
+  group: readonly string[],
+): () => void {
+  const nodes = [LOG, ...cluster.hosts.map(({name}) => name)];
   const rest = nodes.filter(node => !group.includes(node));
   const links = group.flatMap(a => rest.flatMap(b => [[a, b] as const]));
   for (const [a, b] of links) {
-    world.network.cut(a, b);
-    world.network.cut(b, a);
+    cluster.network.cut(a, b);
+    cluster.network.cut(b, a);
   }
   return () => {
     for (const [a, b] of links) {
-      world.network.restore(a, b);
-      world.network.restore(b, a);
+      cluster.network.restore(a, b);
+      cluster.network.restore(b, a);
     }
   };
 }
--- a/packages/ownership/test/support/world.ts
+++ b/packages/ownership/test/support/world.ts
@@ -20,13 +20,13 @@
 import type {FakeProcess} from './process.js';
 import {createFakeProcess} from './process.js';
 
-/** One process that was started to lead a cell. */
+/** A process that was started to lead a cell. */
 export interface FakeLeader {
   readonly host: string;
   readonly cell: string;
   readonly epoch: number;
   readonly process: FakeProcess;
-  /** The table that it started from. */
+  /** The table that it inherited; null if it had none. */
   readonly inherited: ShardTable | null;
   mayAct(): boolean;
   isCleared(): boolean;
@@ -35,9 +35,9 @@
 interface MutableFakeLeader extends FakeLeader {
   readonly name: string;
   cleared: boolean;
-  /** Newest version of the table that was acknowledged. */
+  /** Newest version of its table that the standby acknowledged. */
   recordedVersion: number;
-  /** The version that a successor started from. */
+  /** Version of its table that a successor inherited; infinite before. */
   successorVersion: number;
 }
 
@@ -46,30 +46,30 @@
   readonly ownership: Ownership;
 }
 
-/** Several routers in one test, on one manual clock. */
+/** Simulated routers on one manual clock. */
 export interface FakeCluster {
   readonly clock: ManualClock;
   readonly network: Network;
   readonly log: FakeLog;
   readonly faults: LogFaults;
   readonly leaders: readonly FakeLeader[];
-  /** What went wrong with "one holder at most", if anything. */
+  /** Violations of the rule that a cell has at most one leader at a time. */
   readonly violations: readonly string[];
-  /** Starts, or starts anew, the router on a host. */
+  /** Starts or restarts the router on a host. */
   start(host: string): FakeRouter;
   router(host: string): FakeRouter;
   hosts: Host[];
-  /** The holder that may act for the cell without limits, or null. */
+  /** The running leader that may act for the cell and is cleared, or null. */
   activeLeader(cell?: string): FakeLeader | null;
-  /** An operator's word that a run is lost. */
+  /** Appends an operator's attestation that a router instance is lost. */
   attest(incarnation: Incarnation): void;
-  /** An operator drains a router. */
+  /** Appends an operator's record that drains a router. */
   drain(host: string): void;
   /** How often the router on a host withdrew its consent. */
   withdrawals(host: string): number;
-  /** Advances until the condition holds; ms that took, -1 after `limit`. */
+  /** Advances until the condition holds; returns the ms, or -1 on timeout. */
   waitUntil(condition: () => boolean, limitMs: number): Promise<number>;
-  /** Advances; yields the longest time without an acting holder, in ms. */
+  /** Advances; returns the longest time without an active leader, in ms. */
   longestGap(ms: number): Promise<number>;
 }
 
@@ -77,10 +77,10 @@
   readonly hosts: readonly string[];
   readonly cells?: number;
   readonly checksFences?: boolean;
-  /** Between two changes of a cell's table; none by default. */
+  /** Interval between changes of a table, in ms; only one change if omitted. */
   readonly changeMs?: number;
   readonly random?: () => number;
-  /** Speeds of the routers' clocks, in the order of the hosts. */
+  /** Rates of the routers' clocks, in the order of the hosts; 1 by default. */
   readonly rates?: readonly number[];
 }
 
@@ -100,20 +100,20 @@
   };
   const endpoints = new Map<string, Endpoint>();
   const routers = new Map<string, FakeRouter>();
-  const holders: MutableFakeLeader[] = [];
+  const leaders: MutableFakeLeader[] = [];
   const violations: string[] = [];
   const initial = initialState(options);
   const withdrawals = new Map<string, number>();
   let boots = 0;
 
-  const violate = (what: string): void =>
+  const addViolation = (what: string): void =>
     void violations.push(`${clock.now().toFixed(0)} ms: ${what}`);
   const check = (): void => {
-    const found = findViolation(holders);
-    if (found) violate(found);
+    const found = findViolation(leaders);
+    if (found) addViolation(found);
   };
-  // Checks after every single timer, since what one event makes possible
-  // may be over before the next.
+  // Checks after every timer, since a violation that one event causes may end
+  // with the next one.
   const checked: ManualClock = {
     ...clock,
     after: (ms, task) =>
@@ -131,7 +131,7 @@
     const ownership = createOwnership({
       self: incarnation,
       store: createFakeStore(process, network, log, faults, initial),
-      hosts: {current: () => world.hosts},
+      hosts: {current: () => cluster.hosts},
       peers: createFakePeers(process, network, endpoints),
       clock: process.clock,
       log: {
@@ -142,7 +142,12 @@
         },
       },
       timing: deriveTiming(initial.rules.timing),
-      startCell: createStartCell(process, holders, violate, options.changeMs),
+      startCell: createStartCell(
+        process,
+        leaders,
+        addViolation,
+        options.changeMs,
+      ),
       encodeState,
       random: options.random ?? (() => 0.5),
     });
@@ -155,8 +160,8 @@
     return router;
   };
 
-  const world: FakeCluster = {
-    ...{clock: checked, network, log, faults, leaders: holders, violations, start},
+  const cluster: FakeCluster = {
+    ...{clock: checked, network, log, faults, leaders, violations, start},
     hosts: options.hosts.map(toHost),
     router(host) {
       const router = routers.get(host);
@@ -172,7 +177,7 @@
     },
     withdrawals: host => withdrawals.get(host) ?? 0,
     activeLeader: (cell = CELL) =>
-      holders.find(h => h.cell === cell && isActive(h)) ?? null,
+      leaders.find(h => h.cell === cell && isActive(h)) ?? null,
     async waitUntil(condition, limitMs) {
       for (let ms = 0; ms <= limitMs; ms += STEP_MS) {
         if (condition()) return ms;
@@ -185,25 +190,25 @@
       let gap = 0;
       for (let spent = 0; spent < ms; spent += STEP_MS) {
         await clock.advance(STEP_MS);
-        gap = world.activeLeader() === null ? gap + STEP_MS : 0;
+        gap = cluster.activeLeader() === null ? gap + STEP_MS : 0;
         longest = Math.max(longest, gap);
       }
       return longest;
     },
   };
   for (const host of options.hosts) start(host);
-  return world;
+  return cluster;
 }
 
-/** May act, at servers that do not check fences too. */
-function isActive(holder: FakeLeader): boolean {
-  const {process} = holder;
+/** Whether it may act, also at servers that don't check fences. */
+function isActive(leader: FakeLeader): boolean {
+  const {process} = leader;
   const runs = process.isAlive() && !process.isPaused();
-  return runs && holder.isCleared() && holder.mayAct();
+  return runs && leader.isCleared() && leader.mayAct();
 }
 
-function findViolation(holders: readonly FakeLeader[]): string | null {
-  const able = holders.filter(h => h.process.isAlive() && h.mayAct());
+function findViolation(leaders: readonly FakeLeader[]): string | null {
+  const able = leaders.filter(h => h.process.isAlive() && h.mayAct());
   for (const newer of able) {
     if (!newer.isCleared()) continue;
     const older = able.find(
@@ -218,16 +223,16 @@
 
 const RETRY_MS = 50;
 
-/** Stands for the cell's leader: changes the table from time to time. */
+/** Creates a fake cell leader that changes its table once or periodically. */
 function createStartCell(
   process: FakeProcess,
-  holders: MutableFakeLeader[],
-  violate: (what: string) => void,
+  leaders: MutableFakeLeader[],
+  addViolation: (what: string) => void,
   changeMs: number | undefined,
 ): StartCell {
   return ({cell, authority, inheritance, signal}) => {
     const {table: inherited, cleared} = inheritance;
-    const name = `${process.incarnation.host} #${holders.length}`;
+    const name = `${process.incarnation.host} #${leaders.length}`;
     let version = inherited?.version ?? 0;
     const table = (): ShardTable => {
       const {epoch} = authority;
@@ -235,7 +240,7 @@
       const entries = [{...owner, state: 'held'} as const];
       return {cell, epoch, version, entries, fences: new Map()};
     };
-    const holder: MutableFakeLeader = {
+    const leader: MutableFakeLeader = {
       name,
       host: process.incarnation.host,
       cell,
@@ -248,26 +253,29 @@
       successorVersion: Infinity,
       mayAct: authority.mayAct,
       cleared: false,
-      isCleared: () => holder.cleared,
+      isCleared: () => leader.cleared,
     };
     const change = async (): Promise<boolean> => {
       const wanted = ++version;
       if (!(await authority.record(table()))) return false;
-      holder.recordedVersion = wanted;
-      if (wanted > holder.successorVersion) violate(`${name} lost a change`);
+      leader.recordedVersion = wanted;
+      if (wanted > leader.successorVersion)
+        addViolation(
+          `a change of ${name} was recorded after its table was inherited`,
+        );
       return true;
     };
     const run = async (): Promise<void> => {
       await cleared;
-      holder.cleared = true;
+      leader.cleared = true;
       while (!signal.aborted) {
         const isRecorded = await change();
         if (isRecorded && changeMs === undefined) return;
         await sleep(process.clock, changeMs ?? RETRY_MS, signal);
       }
     };
-    if (inherited) checkInheritedTable(holders, inherited, violate);
-    holders.push(holder);
+    if (inherited) checkInheritedTable(leaders, inherited, addViolation);
+    leaders.push(leader);
     void run();
     const locate = (): never => {
       throw new Error('not part of these tests');
@@ -279,17 +287,18 @@
   };
 }
 
-/** A table that is taken over must have every change that was recorded. */
+/** Checks that an inherited table has every recorded change. */
 function checkInheritedTable(
-  holders: readonly MutableFakeLeader[],
+  leaders: readonly MutableFakeLeader[],
   table: ShardTable,
-  violate: (what: string) => void,
+  addViolation: (what: string) => void,
 ): void {
   const [entry] = table.entries;
-  const before = holders.find(({name}) => name === entry?.server);
+  const before = leaders.find(({name}) => name === entry?.server);
   if (!before) return;
   before.successorVersion = table.version;
-  if (before.recordedVersion > table.version) violate(`change of ${before.name} lost`);
+  if (before.recordedVersion > table.version)
+    addViolation(`a recorded change of ${before.name} was lost`);
 }
 
 function toHost(name: string, index: number): Host {
