--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -154,7 +154,7 @@
   return {
     run: () =>
       inheritance.table === null ? queryServers() : takeOver(inheritance.table),
-    recordReport: recordReport,
+    recordReport,
     isTableKnown: () => isTableKnown,
     // Entries may refer to inherited addresses until former leases expire.
     addresses: () =>
--- a/packages/ownership/src/shard-table.ts
+++ b/packages/ownership/src/shard-table.ts
@@ -106,7 +106,7 @@
       return tracked ?? findRange(key);
     },
     get: shard => byId.get(shard),
-    findRange: findRange,
+    findRange,
     all: () => byId.values(),
     size: () => byId.size,
     hotKeys: () => hotShards.keys(),
--- a/packages/ownership/test/cell-leader.test.ts
+++ b/packages/ownership/test/cell-leader.test.ts
@@ -17,7 +17,7 @@
 /** Returns a key that server a owns at present. */
 function keyAt(fixture: Fixture, owners: ReadonlyMap<string, string>): string {
   for (const [shard, name] of owners) if (name === 'a') return keyOf(+shard);
-  throw new Error(`server a owns no shard at ${fixture.clock.now()} ms`);
+  throw new Error(`server a owns nothing at ${fixture.clock.now()} ms`);
 }
 
 for (const {kind, checksFences} of KINDS) {
@@ -35,7 +35,7 @@
     }
     t.equal(led.where(keyOf(3)), owners.get('3'));
     await fixture.advance(10_000);
-    t.same(led.owners(), owners, 'no shard moves without a cause');
+    t.same(led.owners(), owners, 'nothing moves by itself');
     t.same([...fixture.violations], []);
     await fixture.stop(led);
     t.equal(led.where(keyOf(3)), 'unowned');
@@ -60,7 +60,7 @@
   });
 }
 
-void tap.test('any sign that a server is leaving empties it', async t => {
+void tap.test('the first sign that a server is leaving counts', async t => {
   const signs: Record<string, (fixture: Fixture) => void> = {
     'operator drains': ({drains}) => void drains.add('a'),
     'removed from the inventory': fixture => {
@@ -174,7 +174,7 @@
     await fixture.advance(4500);
     t.equal(led.gateClosed.size, SHARDS, 'no new request is dispatched');
     const leased = fixture.fakes.get('a').activeLease('holds/0')?.shards;
-    t.equal(leased?.length, SHARDS, 'no shard was released yet');
+    t.equal(leased?.length, SHARDS, 'none was released yet');
     await fixture.advance(15_000);
     t.same(led.shardsOf('a'), []);
     t.equal(led.owners().size, SHARDS);
--- a/packages/ownership/test/support/network.ts
+++ b/packages/ownership/test/support/network.ts
@@ -78,13 +78,13 @@
       };
       const endpoint = endpoints.get(address);
       if (!endpoint) return;
-      const there = endpoint.process.incarnation.host;
-      if (!network.allowsRequests(self.host, there)) return;
-      network.send(self.host, there, () => {
-        const now = endpoints.get(address);
-        now?.process.deliver(() => {
-          void serve(now).then(res => {
-            network.send(there, self.host, () =>
+      const remote = endpoint.process.incarnation.host;
+      if (!network.allowsRequests(self.host, remote)) return;
+      network.send(self.host, remote, () => {
+        const target = endpoints.get(address);
+        target?.process.deliver(() => {
+          void serve(target).then(res => {
+            network.send(remote, self.host, () =>
               process.deliver(() => finish(res)),
             );
           });
@@ -98,8 +98,8 @@
     kind: K,
     ask: OwnershipControl[K]['ask'],
   ): Promise<Result<OwnershipControl[K]['answer'], PeerError>> => {
-    const there = endpoint.process.incarnation;
-    if (there.boot !== to.boot) return failed('other-incarnation', there);
+    const remote = endpoint.process.incarnation;
+    if (remote.boot !== to.boot) return failed('other-incarnation', remote);
     const {ask: askSchema, answer: answerSchema} = ownershipSchemas[kind];
     const parsed = askSchema.parse(jsonRoundTrip(ask));
     const handler = endpoint.handlers()[kind] as (
--- a/packages/ownership/test/support/world.ts
+++ b/packages/ownership/test/support/world.ts
@@ -37,7 +37,7 @@
   cleared: boolean;
   /** Newest version of its table that the standby acknowledged. */
   recordedVersion: number;
-  /** Version of its table that a successor inherited; infinite before. */
+  /** Version of its table that a successor inherited; infinite until then. */
   successorVersion: number;
 }
 
@@ -208,10 +208,10 @@
 }
 
 function findViolation(leaders: readonly FakeLeader[]): string | null {
-  const able = leaders.filter(h => h.process.isAlive() && h.mayAct());
-  for (const newer of able) {
+  const eligible = leaders.filter(h => h.process.isAlive() && h.mayAct());
+  for (const newer of eligible) {
     if (!newer.isCleared()) continue;
-    const older = able.find(
+    const older = eligible.find(
       ({cell, epoch}) => cell === newer.cell && epoch < newer.epoch,
     );
     if (!older) continue;
@@ -261,7 +261,7 @@
       leader.recordedVersion = wanted;
       if (wanted > leader.successorVersion)
         addViolation(
-          `a change of ${name} was recorded after its table was inherited`,
+          `a change of ${name} was lost: recorded after its table was inherited`,
         );
       return true;
     };
@@ -294,11 +294,11 @@
   addViolation: (what: string) => void,
 ): void {
   const [entry] = table.entries;
-  const before = leaders.find(({name}) => name === entry?.server);
-  if (!before) return;
-  before.successorVersion = table.version;
-  if (before.recordedVersion > table.version)
-    addViolation(`a recorded change of ${before.name} was lost`);
+  const predecessor = leaders.find(({name}) => name === entry?.server);
+  if (!predecessor) return;
+  predecessor.successorVersion = table.version;
+  if (predecessor.recordedVersion > table.version)
+    addViolation(`a recorded change of ${predecessor.name} was lost`);
 }
 
 function toHost(name: string, index: number): Host {
