--- a/packages/ownership/src/catch-up.ts
+++ b/packages/ownership/src/catch-up.ts
@@ -4,43 +4,43 @@
 import type {Logger} from '@banyandrum/base/logger.js';
 import type {StateStore} from '@banyandrum/config/store.js';
 import type {OwnershipPeers} from './control.js';
-import type {LiveHosts} from './membership.js';
+import type {HostListReader} from './membership.js';
 import {incarnationKey} from './views.js';
 
 export interface CatchUpOptions {
   readonly self: {readonly host: string};
   readonly store: StateStore;
   readonly peers: OwnershipPeers;
-  readonly hosts: LiveHosts;
+  readonly hosts: HostListReader;
   readonly clock: Clock;
   readonly log: Logger;
   readonly signal: AbortSignal;
-  /** 0 to below 1. */
+  /** Uniformly distributed in [0, 1). */
   readonly random: () => number;
 }
 
-/** Fetches newer state from peers while the log cannot be read. */
+/** Fetches newer state from other routers while the log is unreadable. */
 export interface CatchUp {
-  /** Fetches the state of a peer that knows more than this process. */
+  /** Fetches the state of a router that has read further in the log. */
   pull(from: Incarnation): void;
   /**
-   * Until the log was read for the first time, fetches the state from some of
-   * the other routers again and again: a router that starts during an outage
-   * of the log learns the publication and the views from them.
+   * Fetches the state from a random sample of the other routers repeatedly,
+   * until the log has been read for the first time. A router that starts during
+   * an outage of the log learns the publication and the views this way.
    */
   runUntilRead(): Promise<void>;
 }
 
-/** Before peers are asked, the log gets this long, in ms. */
-const FIRST_READ_MS = 1000;
-const RETRY_MS = 2000;
-const ANSWER_MS = 1000;
-const PEERS_ASKED = 5;
+/** Time for the first read of the log before other routers are asked, in ms. */
+const FIRST_READ_WAIT_MS = 1000;
+const RETRY_DELAY_MS = 2000;
+const PEER_TIMEOUT_MS = 1000;
+const PEERS_PER_ROUND = 5;
 
 /**
- * Takes over the newer state of other routers. What they know comes from the
- * log as well, so it is as good as our own reading; it does not count as a
- * confirmed reading of the log's end, though.
+ * Adopts newer state from other routers. Their state was read from the log as
+ * well, so it is as reliable as a read of our own. It doesn't count as a
+ * confirmed read of the log's end, however.
  *
  * @example
  * ```ts
@@ -57,33 +57,34 @@
     if (pulling.has(key)) return;
     pulling.add(key);
     const ask = {next: store.current().next};
-    const res = await peers.ask(from, 'state', ask, ANSWER_MS);
+    const res = await peers.ask(from, 'state', ask, PEER_TIMEOUT_MS);
     pulling.delete(key);
     if (!res.ok || res.val.encoded === null || signal.aborted) return;
-    if (store.adopt(res.val.encoded)) log.info('state of a peer', {from: key});
+    if (store.adopt(res.val.encoded))
+      log.info('adopted newer state from a peer', {from: key});
   };
 
-  const pullFrom = async (address: string): Promise<void> => {
-    const found = await peers.probe(address, ANSWER_MS);
+  const pullFromAddress = async (address: string): Promise<void> => {
+    const found = await peers.probe(address, PEER_TIMEOUT_MS);
     if (found.ok) await pull(found.val);
   };
 
-  const someAddresses = (): readonly string[] =>
+  const sampleRouterAddresses = (): readonly string[] =>
     (options.hosts.current() ?? [])
       .filter(({role}) => role === 'router')
       .filter(({name}) => name !== options.self.host)
       .map(({address}) => ({address, order: random()}))
       .sort((a, b) => a.order - b.order)
-      .slice(0, PEERS_ASKED)
+      .slice(0, PEERS_PER_ROUND)
       .map(({address}) => address);
 
   return {
     pull: from => void pull(from),
     async runUntilRead() {
-      await sleep(clock, FIRST_READ_MS, signal);
+      await sleep(clock, FIRST_READ_WAIT_MS, signal);
       while (!signal.aborted && store.confirmedAt() === -Infinity) {
-        await Promise.all(someAddresses().map(pullFrom));
-        await sleep(clock, RETRY_MS * (0.5 + random()), signal);
+        await Promise.all(sampleRouterAddresses().map(pullFromAddress));
+        await sleep(clock, RETRY_DELAY_MS * (0.5 + random()), signal);
       }
     },
   };
--- a/packages/ownership/src/clearance.ts
+++ b/packages/ownership/src/clearance.ts
@@ -2,44 +2,47 @@
 import type {Incarnation} from '@banyandrum/base/ids.js';
 import type {FormerPair, View} from '@banyandrum/config/state.js';
 import type {OwnershipContext} from './context.js';
-import {withMargin} from './timing.js';
+import {withClockMargin} from './timing.js';
 import {isAttestedLost} from './views.js';
 
 /**
- * Resolves when all earlier leaders of a cell have stopped, for whoever was
- * just seen to lead it; or when the signal aborts.
+ * Resolves when all earlier leaders of a cell have stopped, or when the signal
+ * aborts. The caller must just have read the view in which it leads.
  *
- * The reading that showed the view ends every earlier leader's trust in the
- * log T later, by its own clock. Consent ends at the pairs one by one; the
- * pair right before is no longer listed where its standby or its leader made
- * the claim, because both end their consent before they claim.
+ * Earlier leaders may act on their last reading of the log or on consent.
+ * Reading the view bounds the first: no earlier leader relies on the log for
+ * longer than `authorityMs` after that, by its own clock. Consent is checked
+ * for each former pair of leader and standby. The immediately preceding pair
+ * is not listed if its standby or its leader made the claim, because both end
+ * their consent before they claim.
  *
  * @example
  * ```ts
- * await waitUntilCleared(ctx, view, signal);
+ * await waitForFormerLeaders(ctx, view, signal);
  * ```
  */
-export async function waitUntilCleared(
+export async function waitForFormerLeaders(
   ctx: OwnershipContext,
   view: View,
   signal: AbortSignal,
 ): Promise<void> {
-  const trustMs = withMargin(ctx.timing, ctx.timing.authorityMs);
+  const logTrustMs = withClockMargin(ctx.timing, ctx.timing.authorityMs);
   const pairs = view.unsettled.map(pair =>
-    waitUntilOver(ctx, view, pair, signal),
+    waitForFormerPair(ctx, view, pair, signal),
   );
-  await Promise.all([sleep(ctx.clock, trustMs, signal), ...pairs]);
+  await Promise.all([sleep(ctx.clock, logTrustMs, signal), ...pairs]);
 }
 
 /**
- * What is known of a former pair.
+ * State of a former pair of leader and standby.
  *
- * - `over`: its leader cannot act.
- * - `no-consent`: its leader gets no consent that was asked for from now on.
+ * - `active`: the leader may still act with consent.
+ * - `no-consent`: the leader gets no consent for requests made from now on.
+ * - `leader-gone`: the leader's process has terminated.
  */
-type PairState = 'living' | 'no-consent' | 'over';
+type PairState = 'active' | 'no-consent' | 'leader-gone';
 
-async function waitUntilOver(
+async function waitForFormerPair(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
@@ -47,72 +50,84 @@
 ): Promise<void> {
   let warned = false;
   while (!signal.aborted) {
-    const state = await examinePair(ctx, view, pair);
-    if (state === 'over') return;
+    const state = await checkPair(ctx, view, pair);
+    if (state === 'leader-gone') return;
     if (state === 'no-consent') {
       const {authorityMs} = ctx.timing;
-      return sleep(ctx.clock, withMargin(ctx.timing, authorityMs), signal);
+      return sleep(ctx.clock, withClockMargin(ctx.timing, authorityMs), signal);
     }
-    if (!warned) warnOfPair(ctx, view, pair);
+    if (!warned) warnAboutPair(ctx, view, pair);
     warned = true;
-    await sleep(ctx.clock, ctx.timing.watchMs, signal);
+    await sleep(ctx.clock, ctx.timing.watchIntervalMs, signal);
   }
 }
 
-async function examinePair(
+async function checkPair(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
 ): Promise<PairState> {
   const {standby, leader} = pair;
   const [leaderState, standbyState] = await Promise.all([
-    examineRun(ctx, view, pair, leader),
-    standby === null ? 'gone' : examineRun(ctx, view, pair, standby),
+    checkIncarnation(ctx, view, pair, leader),
+    standby === null ? 'gone' : checkIncarnation(ctx, view, pair, standby),
   ]);
-  if (leaderState === 'gone') return 'over';
-  const isCut = leaderState === 'stopped' || standbyState !== 'living';
-  return isCut ? 'no-consent' : 'living';
+  if (leaderState === 'gone') return 'leader-gone';
+  const isConsentOver = leaderState === 'stopped' || standbyState !== 'active';
+  return isConsentOver ? 'no-consent' : 'active';
 }
 
 /**
- * - `gone`: another run of the process answers at its address, or an operator
- *   attested it lost.
- * - `stopped`: it answers that it knows a later view or has withdrawn, so it
- *   neither acts nor consents in that epoch any more.
+ * - `gone`: another incarnation answers at its address, or an operator attested
+ *   it lost.
+ * - `stopped`: it answers that it knows a later view or has withdrawn consent,
+ *   so it neither acts nor consents in that epoch any more.
  */
-type RunState = 'living' | 'stopped' | 'gone';
+type IncarnationState = 'active' | 'stopped' | 'gone';
 
-async function examineRun(
+async function checkIncarnation(
   ctx: OwnershipContext,
   view: View,
   pair: FormerPair,
-  run: Incarnation,
-): Promise<RunState> {
-  if (isGone(ctx, run)) return 'gone';
-  if (run.boot === ctx.self.boot) return 'stopped';
-  const ask = {cell: view.cell, epoch: pair.epoch};
-  const res = await ctx.peers.ask(run, 'withdraw', ask, ctx.timing.answerMs);
-  if (!res.ok) return res.val.kind === 'other-incarnation' ? 'gone' : 'living';
-  return res.val.withdrawnForMs === null ? 'living' : 'stopped';
+  incarnation: Incarnation,
+): Promise<IncarnationState> {
+  if (isTerminated(ctx, incarnation)) return 'gone';
+  if (incarnation.boot === ctx.self.boot) return 'stopped';
+  const request = {cell: view.cell, epoch: pair.epoch};
+  const res = await ctx.peers.ask(
+    incarnation,
+    'withdraw',
+    request,
+    ctx.timing.responseTimeoutMs,
+  );
+  if (!res.ok) return res.val.kind === 'other-incarnation' ? 'gone' : 'active';
+  return res.val.withdrawnForMs === null ? 'active' : 'stopped';
 }
 
-/** What this process knows of a run without asking anybody. */
-export function isGone(ctx: OwnershipContext, run: Incarnation): boolean {
+/** Whether an incarnation is known to have ended, without asking any router. */
+export function isTerminated(
+  ctx: OwnershipContext,
+  incarnation: Incarnation,
+): boolean {
   const {self} = ctx;
-  // This process holds that address itself, so the other run is over.
-  if (run.address === self.address && run.boot !== self.boot) return true;
-  return isAttestedLost(ctx.store.current(), run);
+  // This process uses the address itself, so the other incarnation has ended.
+  if (incarnation.address === self.address && incarnation.boot !== self.boot)
+    return true;
+  return isAttestedLost(ctx.store.current(), incarnation);
 }
 
-function warnOfPair(
+function warnAboutPair(
   ctx: OwnershipContext,
   view: View,
   {epoch, leader, standby}: FormerPair,
 ): void {
-  ctx.log.warn('waiting for a former leader; if its host is lost, attest it', {
-    cell: view.cell,
-    formerEpoch: epoch,
-    leader: leader.host,
-    standby: standby?.host,
-  });
+  ctx.log.warn(
+    'waiting for a former leader to stop; attest its host if it is lost',
+    {
+      cell: view.cell,
+      formerEpoch: epoch,
+      leader: leader.host,
+      standby: standby?.host,
+    },
+  );
 }
--- a/packages/ownership/src/consent.ts
+++ b/packages/ownership/src/consent.ts
@@ -4,98 +4,109 @@
 import type {OwnershipContext} from './context.js';
 import type {Leadership, Tenure} from './leadership.js';
 import type {Membership} from './membership.js';
-import type {NoteUnreached} from './unreached.js';
+import type {UnreachableHandler} from './unreached.js';
 
-/** What a leader's questions for consent work with. */
+/** Dependencies of the consent loops of a leader. */
 export interface ConsentOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly leadership: Leadership;
-  /** Told of cells whose standby cannot be relied on any more. */
+  /** Reports cells whose standby is no longer reliable. */
   readonly doubt: (tenures: readonly Tenure[], reason: string) => void;
-  readonly noteUnreached: NoteUnreached;
+  readonly noteUnreached: UnreachableHandler;
 }
 
 /**
- * Asks one standby for consent, for all cells that it shares with this
- * process, in one message; until the signal aborts. The question is also the
- * heartbeat between the two, in both directions.
+ * Requests consent from one standby at a regular interval until the signal
+ * aborts, for all cells that it shares with this process in one message. The
+ * request also serves as the heartbeat between the two, in both directions.
  */
-export async function runConsent(
+export async function runConsentLoop(
   options: ConsentOptions,
   standby: Incarnation,
   signal: AbortSignal,
 ): Promise<void> {
   const {clock, timing} = options.ctx;
   while (!signal.aborted) {
-    const askedAt = clock.now();
-    await askOnce(options, standby);
-    await doubtSilent(options, standby);
-    const spent = clock.now() - askedAt;
-    await sleep(clock, Math.max(0, timing.consentMs - spent), signal);
+    const requestedAt = clock.now();
+    await requestConsent(options, standby);
+    await checkSilentStandby(options, standby);
+    const elapsedMs = clock.now() - requestedAt;
+    await sleep(
+      clock,
+      Math.max(0, timing.consentIntervalMs - elapsedMs),
+      signal,
+    );
   }
 }
 
-async function askOnce(
+async function requestConsent(
   options: ConsentOptions,
   standby: Incarnation,
 ): Promise<void> {
   const {ctx, membership, doubt} = options;
-  const asked = tenuresWith(options, standby).map(tenure => ({
+  const requested = tenuresWith(options, standby).map(tenure => ({
     tenure,
     cell: tenure.holder.cell,
     epoch: tenure.holder.epoch,
   }));
-  if (asked.length === 0) return;
-  const cells = asked.map(({cell, epoch}) => ({cell, epoch}));
-  const askedAt = ctx.clock.now();
-  const {answerMs} = ctx.timing;
-  const res = await ctx.peers.ask(standby, 'consent', {cells}, answerMs);
+  if (requested.length === 0) return;
+  const cells = requested.map(({cell, epoch}) => ({cell, epoch}));
+  const requestedAt = ctx.clock.now();
+  const {responseTimeoutMs} = ctx.timing;
+  const res = await ctx.peers.ask(
+    standby,
+    'consent',
+    {cells},
+    responseTimeoutMs,
+  );
   if (!res.ok) {
-    const isGone = res.val.kind === 'other-incarnation';
-    if (isGone) doubt(tenuresWith(options, standby), 'restarted');
+    const isReplaced = res.val.kind === 'other-incarnation';
+    if (isReplaced) doubt(tenuresWith(options, standby), 'restarted');
     return;
   }
   const granted = new Set(res.val.granted);
-  for (const {tenure, cell, epoch} of asked) {
+  for (const {tenure, cell, epoch} of requested) {
     if (!granted.has(cell)) continue;
-    tenure.holder.consented(epoch, askedAt);
-    // Its consent shows that it knows the epoch, so it takes the table now.
-    void tenure.holder.synchronise();
+    tenure.holder.recordConsent(epoch, requestedAt);
+    // Consent shows that the standby knows the epoch, so it accepts the table.
+    void tenure.holder.sendTableToStandby();
   }
-  if (res.val.leaving) membership.noteLeaving(standby);
+  if (res.val.leaving) membership.markLeaving(standby);
   if (!res.val.unreached) return;
   options.noteUnreached(standby, tenuresWith(options, standby));
 }
 
 /**
- * Doubts a standby that gave no consent for a while. A new connection is
- * tried first: a silent one may have been lost track of on the way.
+ * Reports a standby that has not consented for a while. Probes it on a new
+ * connection first, because only the existing connection may be broken.
  */
-async function doubtSilent(
+async function checkSilentStandby(
   options: ConsentOptions,
   standby: Incarnation,
 ): Promise<void> {
   const {ctx, doubt} = options;
   const {timing} = ctx;
-  const silent = (ms: number): readonly Tenure[] =>
-    tenuresWith(options, standby).filter(tenure => silentFor(ctx, tenure) > ms);
-  if (silent(timing.standbySilenceMs).length === 0) return;
-  const res = await ctx.peers.probe(standby.address, timing.answerMs);
-  const isThere = res.ok && isSameIncarnation(res.val, standby);
-  // It answers, but does not consent: it may not have read the view yet.
-  const patience = isThere ? 2 * timing.authorityMs : timing.standbySilenceMs;
-  doubt(silent(patience), isThere ? 'refuses consent' : 'silent');
+  const tenuresSilentFor = (ms: number): readonly Tenure[] =>
+    tenuresWith(options, standby).filter(
+      tenure => standbySilenceMs(ctx, tenure) > ms,
+    );
+  if (tenuresSilentFor(timing.standbyTimeoutMs).length === 0) return;
+  const res = await ctx.peers.probe(standby.address, timing.responseTimeoutMs);
+  const isAlive = res.ok && isSameIncarnation(res.val, standby);
+  // A standby that answers without consenting may not have read the view yet.
+  const timeoutMs = isAlive ? 2 * timing.authorityMs : timing.standbyTimeoutMs;
+  doubt(tenuresSilentFor(timeoutMs), isAlive ? 'refuses consent' : 'silent');
 }
 
-/** Our own pause must not count as silence of the standby. */
-function silentFor(ctx: OwnershipContext, tenure: Tenure): number {
-  const heardAt = Math.max(
-    tenure.holder.consentedAt(),
-    tenure.viewSince(),
-    ctx.pauses.awakeSince(),
+/** Time without consent; a pause of this process does not count, in ms. */
+function standbySilenceMs(ctx: OwnershipContext, tenure: Tenure): number {
+  const lastHeardAt = Math.max(
+    tenure.holder.lastConsentAt(),
+    tenure.viewKnownSince(),
+    ctx.pauses.resumedAt(),
   );
-  return ctx.clock.now() - heardAt;
+  return ctx.clock.now() - lastHeardAt;
 }
 
 function tenuresWith(
@@ -103,6 +114,6 @@
   standby: Incarnation,
 ): readonly Tenure[] {
   return leadership
-    .tenures()
+    .activeTenures()
     .filter(({holder}) => isSameIncarnation(holder.view().standby, standby));
 }
--- a/packages/ownership/src/lease-registry.ts
+++ b/packages/ownership/src/lease-registry.ts
@@ -6,7 +6,10 @@
 import type {StateStore} from '@banyandrum/config/store.js';
 import type {ServerClient, ServerRef} from '@banyandrum/servers/client.js';
 import type {Authority} from './authority.js';
-import {type ForeignLimit, NOT_CLEARED} from './lease-holding.js';
+import {
+  type FormerLeaseLimit,
+  UNLIMITED_FORMER_LEASES,
+} from './lease-holding.js';
 import {type LoadProbe, createLoadProbe} from './lease-probe.js';
 import {
   type HostWatch,
@@ -33,24 +36,24 @@
   readonly onReport: (task: LeaseTask, shards: readonly ShardId[]) => void;
 }
 
-/** The leases of all servers of a cell. */
+/** The lease tasks of all servers of a cell. */
 export interface LeaseRegistry {
   readonly tasks: ReadonlyMap<string, LeaseTask>;
-  /** Opens leases of servers that came, ends those of servers that went. */
+  /** Adds tasks for new servers and removes those of servers that are gone. */
   refresh(): void;
-  /** Runs the tasks of servers that check fences. */
-  runChecking(): void;
-  /** Runs all tasks, now and later ones. */
+  /** Starts the tasks of servers that check fences, now and in future. */
+  runFenceChecking(): void;
+  /** Starts all tasks, now and in future. */
   runAll(): void;
-  /** Tells all that the former leaders are known to have stopped. */
-  limitForeign(limit: ForeignLimit): void;
-  /** Why the server is being emptied, or null. */
-  leaving(task: LeaseTask): LeavingReason | null;
+  /** Sets the limit on former leaders' leases in all tasks. */
+  limitFormerLeases(limit: FormerLeaseLimit): void;
+  /** Why the server's shards are being moved away, or null. */
+  leavingReason(task: LeaseTask): LeavingReason | null;
   probe(task: LeaseTask): LoadProbe | undefined;
   fences(): ReadonlyMap<string, Fence>;
   addresses(): ReadonlyMap<string, string>;
   /** Resolves when all tasks have ended. */
-  ended(): Promise<void>;
+  waitForTasks(): Promise<void>;
 }
 
 interface Member {
@@ -62,7 +65,8 @@
 }
 
 /**
- * Makes the registry of one cell's servers; `refresh` follows the inventory.
+ * Creates the registry of one cell's servers; `refresh` applies changes of the
+ * inventory.
  *
  * @example
  * ```ts
@@ -79,23 +83,23 @@
   const members = new Map<string, Member>();
   const tasks = new Map<string, LeaseTask>();
   const runs = new Set<Promise<void>>();
-  let permitted: 'none' | 'checking' | 'all' = 'none';
-  let foreign = NOT_CLEARED;
+  let startable: 'none' | 'checking' | 'all' = 'none';
+  let formerLeases = UNLIMITED_FORMER_LEASES;
 
-  // Made anew only with a new inventory: the cell asks at every tick, and the
-  // list of all servers grows with the whole system.
-  const wantedOf = createMemo((inventory: Inventory) => {
+  // Recomputed only for a new inventory: the placer refreshes at least every
+  // 500 ms, and the list of all servers grows with the whole system.
+  const listedServersOf = createMemo((inventory: Inventory) => {
     const found = inventory.services.find(({name}) => name === service);
     const servers = found
       ? serversOfCell(inventory.servers, service, index, found.cells)
       : [];
     return {
       found,
-      wanted: new Map(servers.map(s => [s.name, toServerRef(s)])),
+      listed: new Map(servers.map(s => [s.name, toServerRef(s)])),
     };
   });
 
-  const open = (server: ServerRef, checksFences: boolean): void => {
+  const addMember = (server: ServerRef, checksFences: boolean): void => {
     const stopper = new AbortController();
     const signal = AbortSignal.any([options.signal, stopper.signal]);
     setMaxListeners(0, signal);
@@ -103,7 +107,7 @@
       ...options,
       server,
       checksFences,
-      foreign,
+      formerLeases,
       signal,
     });
     const probe = createLoadProbe({...options, server, signal});
@@ -117,7 +121,7 @@
     });
   };
 
-  const retire = (member: Member): void => {
+  const removeMember = (member: Member): void => {
     const {server} = member.task;
     member.stopper.abort();
     members.delete(server.name);
@@ -126,55 +130,55 @@
   };
 
   const isEmpty = (task: LeaseTask): boolean =>
-    task.wanted().size === 0 && task.mayHoldAnyUntil() <= clock.now();
+    task.assigned().size === 0 && task.mayHoldAnyUntil() <= clock.now();
 
   const refresh = (): void => {
-    const {found, wanted} = wantedOf(store.current().inventory);
+    const {found, listed} = listedServersOf(store.current().inventory);
     for (const [name, member] of members) {
-      // Another address is another process: its lease is a new one, and the
-      // boot id that answers there proves nothing about the old process.
+      // A changed address means a different process, which needs a new lease:
+      // the boot id of the process there proves nothing about the old process.
       const {address} = member.task.server;
-      member.listed = wanted.get(name)?.address === address;
-      if (!member.listed && isEmpty(member.task)) retire(member);
+      member.listed = listed.get(name)?.address === address;
+      if (!member.listed && isEmpty(member.task)) removeMember(member);
     }
-    for (const [name, server] of wanted) {
-      if (!members.has(name)) open(server, found?.checksFences ?? false);
+    for (const [name, server] of listed) {
+      if (!members.has(name)) addMember(server, found?.checksFences ?? false);
     }
-    runPermitted();
+    startTasks();
   };
 
-  const runPermitted = (): void => {
-    if (permitted === 'none') return;
+  const startTasks = (): void => {
+    if (startable === 'none') return;
     for (const member of members.values()) {
       if (member.running) continue;
-      if (permitted === 'checking' && !member.task.checksFences) continue;
+      if (startable === 'checking' && !member.task.checksFences) continue;
       member.running = true;
-      follow(member.task.run());
-      follow(member.probe.run());
+      track(member.task.run());
+      track(member.probe.run());
     }
   };
 
-  const follow = (run: Promise<void>): void => {
-    const ended = run.finally(() => runs.delete(ended));
-    runs.add(ended);
+  const track = (run: Promise<void>): void => {
+    const tracked = run.finally(() => runs.delete(tracked));
+    runs.add(tracked);
   };
 
   return {
     tasks,
     refresh,
-    runChecking() {
-      permitted = 'checking';
-      runPermitted();
+    runFenceChecking() {
+      startable = 'checking';
+      startTasks();
     },
     runAll() {
-      permitted = 'all';
-      runPermitted();
+      startable = 'all';
+      startTasks();
     },
-    limitForeign(limit) {
-      foreign = limit;
-      for (const task of tasks.values()) task.limitForeign(limit);
+    limitFormerLeases(limit) {
+      formerLeases = limit;
+      for (const task of tasks.values()) task.limitFormerLeases(limit);
     },
-    leaving(task) {
+    leavingReason(task) {
       const member = members.get(task.server.name);
       return leavingReason(
         task.server,
@@ -189,7 +193,7 @@
       new Map(Array.from(tasks, ([name, task]) => [name, task.fence()])),
     addresses: () =>
       new Map(Array.from(tasks, ([name, {server}]) => [name, server.address])),
-    async ended() {
+    async waitForTasks() {
       await Promise.all(runs);
     },
   };
--- a/packages/ownership/src/orphan-watch.ts
+++ b/packages/ownership/src/orphan-watch.ts
@@ -3,27 +3,28 @@
 import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {ClaimPlan, Claimer} from './claims.js';
-import {isGone} from './clearance.js';
+import {isTerminated} from './clearance.js';
 import type {OwnershipContext} from './context.js';
 import type {Ring, RouterHost} from './election.js';
 import {pickFromRing} from './election.js';
 import {createMemo} from './memo.js';
 import type {Membership} from './membership.js';
-import {examineLeader} from './standby-watch.js';
+import {probeLeader} from './standby-watch.js';
 
-/** What the watch of cells without a role in them works with. */
-export interface OrphanWatchOptions {
+/** Dependencies of the watch over cells in which this process has no role. */
+export interface BackupWatchOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly claimer: Claimer;
 }
 
-/** How many routers watch a cell beside its leader and its standby. */
-const WATCHERS = 2;
+/** How many routers watch a cell besides its leader and its standby. */
+const MAX_WATCHERS = 2;
 
 /**
- * Tells the leaders that this process watches as a third router; looks
- * through all views only after one of them or a router has changed.
+ * Creates a function that returns the leaders that this process watches as a
+ * third router. It scans all views only after a view or the set of routers has
+ * changed.
  *
  * @example
  * ```ts
@@ -32,7 +33,7 @@
  * ```
  */
 export function createWatchedLeaders(
-  options: OrphanWatchOptions,
+  options: BackupWatchOptions,
 ): () => readonly Incarnation[] {
   const {ctx, membership} = options;
   const leadersOf = createMemo((views: ClusterState['views'], ring: Ring) =>
@@ -44,12 +45,12 @@
 }
 
 /**
- * Watches one leader for the cells in which this process has no role, and
- * claims those whose leader *and* standby are lost; until the signal aborts.
- * A leader that is lost alone is its standby's affair.
+ * Watches one leader on behalf of the cells in which this process has no role,
+ * and claims those whose leader *and* standby are lost, until the signal
+ * aborts. If only the leader is lost, its standby takes over.
  */
-export async function runOrphanWatch(
-  options: OrphanWatchOptions,
+export async function runBackupWatch(
+  options: BackupWatchOptions,
   leader: Incarnation,
   signal: AbortSignal,
 ): Promise<void> {
@@ -57,38 +58,49 @@
   const {clock, timing} = ctx;
   let lostSince: number | null = null;
   while (!signal.aborted) {
-    await sleep(clock, timing.watchMs, signal);
-    const proof = await lookFor(ctx, leader);
+    await sleep(clock, timing.watchIntervalMs, signal);
+    const leaderState = await checkLeader(ctx, leader);
     if (signal.aborted) return;
-    if (proof === 'there' || proof === 'paused') {
+    if (leaderState === 'there' || leaderState === 'paused') {
       lostSince = null;
       continue;
     }
     lostSince ??= clock.now();
     const lostFor = clock.now() - lostSince;
-    const due = dueViews(options, leader, lostFor, proof === 'gone');
+    const dueViews = viewsDueForClaim(
+      options,
+      leader,
+      lostFor,
+      leaderState === 'gone',
+    );
     const plans = await Promise.all(
-      due.map(view => planRescue(options, view, proof === 'gone')),
+      dueViews.map(view => planClaim(options, view, leaderState === 'gone')),
     );
-    const wanted = plans.filter(plan => plan !== null);
-    if (wanted.length > 0 && !signal.aborted) await claimer.claim(wanted);
+    const claimPlans = plans.filter(plan => plan !== null);
+    if (claimPlans.length > 0 && !signal.aborted)
+      await claimer.claim(claimPlans);
   }
 }
 
-async function lookFor(
+async function checkLeader(
   ctx: OwnershipContext,
   leader: Incarnation,
-): ReturnType<typeof examineLeader> {
-  if (isGone(ctx, leader)) return 'gone';
-  const res = await ctx.peers.ask(leader, 'leads', {}, ctx.timing.answerMs);
+): ReturnType<typeof probeLeader> {
+  if (isTerminated(ctx, leader)) return 'gone';
+  const res = await ctx.peers.ask(
+    leader,
+    'leads',
+    {},
+    ctx.timing.responseTimeoutMs,
+  );
   if (res.ok) return 'there';
   if (res.val.kind === 'other-incarnation') return 'gone';
-  return examineLeader(ctx, leader);
+  return probeLeader(ctx, leader);
 }
 
-/** Views whose turn has come for this router by its rank. */
-function dueViews(
-  options: OrphanWatchOptions,
+/** Views that this router may claim by now, given its rank as a watcher. */
+function viewsDueForClaim(
+  options: BackupWatchOptions,
   leader: Incarnation,
   lostForMs: number,
   isLeaderGone: boolean,
@@ -96,37 +108,42 @@
   const {ctx, membership} = options;
   const {clock, store, timing} = ctx;
   const ring = membership.ring();
-  // Without the log at hand no claim can follow, so don't end a consent.
-  if (clock.now() - store.confirmedAt() >= timing.logPatienceMs) return [];
+  // No claim can succeed while the log is unreachable. Asking the standby to
+  // withdraw would then end its consent in vain.
+  if (clock.now() - store.confirmedAt() >= timing.maxLogAgeMs) return [];
   return [...store.current().views.values()].filter(view => {
     if (!isSameIncarnation(view.leader, leader)) return false;
     const rank = watchRank(ctx, ring, view);
     if (rank === null) return false;
-    // The standby, if there is one, is to have its chance first.
-    const isAlone = view.standby === null || isGone(ctx, view.standby);
+    // A standby that may still be running gets time to take over first.
+    const isAlone = view.standby === null || isTerminated(ctx, view.standby);
     const graceMs = isLeaderGone && isAlone ? 0 : 2 * timing.suspicionMs;
-    return lostForMs >= graceMs + rank * timing.rankMs;
+    return lostForMs >= graceMs + rank * timing.rankDelayMs;
   });
 }
 
-async function planRescue(
-  options: OrphanWatchOptions,
+async function planClaim(
+  options: BackupWatchOptions,
   view: View,
   isLeaderGone: boolean,
 ): Promise<ClaimPlan | null> {
   const {ctx, membership} = options;
-  const standbyState = await examineStandby(ctx, view);
+  const standbyState = await checkStandby(ctx, view);
   if (standbyState === 'serving') return null;
-  const isProved = isLeaderGone || standbyState === 'over';
-  if (!isProved && !checksFences(ctx, view)) {
-    ctx.log.warn('leader and standby lost; attest their hosts if so', {
-      cell: view.cell,
-      leader: view.leader.host,
-      standby: view.standby?.host,
-    });
+  const isConfirmed = isLeaderGone || standbyState === 'over';
+  if (!isConfirmed && !checksFences(ctx, view)) {
+    ctx.log.warn(
+      'leader and standby unresponsive; attest their hosts if lost',
+      {
+        cell: view.cell,
+        leader: view.leader.host,
+        standby: view.standby?.host,
+      },
+    );
     return null;
   }
-  if (!isLeaderGone && !(await isConnected(options, view))) return null;
+  if (!isLeaderGone && !(await reachesHalfOfRouters(options, view)))
+    return null;
   const standby = await membership.findStandby(view.cell, view.leader);
   return {
     claim: {
@@ -142,21 +159,24 @@
 }
 
 /**
- * - `serving`: it is there and will take over itself, if need be.
- * - `over`: there is none, it is gone, or it withdrew and cannot claim.
- * - `silent`: nobody knows.
+ * State of a cell's standby, as seen by a watcher.
+ *
+ * - `serving`: it is running and takes over itself if necessary.
+ * - `over`: there is none, it has ended, or it withdrew its consent and cannot
+ *   claim the cell.
+ * - `silent`: unknown, as it doesn't answer.
  */
 type StandbyState = 'serving' | 'over' | 'silent';
 
-async function examineStandby(
+async function checkStandby(
   ctx: OwnershipContext,
   view: View,
 ): Promise<StandbyState> {
   const {standby, cell, epoch} = view;
-  const {authorityMs, answerMs} = ctx.timing;
-  if (standby === null || isGone(ctx, standby)) return 'over';
+  const {authorityMs, responseTimeoutMs: answerMs} = ctx.timing;
+  if (standby === null || isTerminated(ctx, standby)) return 'over';
   const ask = {cell, epoch};
-  // Longer than an answer takes: the standby probes its leader first.
+  // Twice the usual timeout, as the standby probes its leader first.
   const res = await ctx.peers.ask(standby, 'withdraw', ask, 2 * answerMs);
   if (res.ok) {
     const {withdrawnForMs} = res.val;
@@ -164,31 +184,31 @@
     return isStuck ? 'over' : 'serving';
   }
   if (res.val.kind === 'other-incarnation') return 'over';
-  const proof = await examineLeader(ctx, standby);
-  if (proof === 'gone') return 'over';
-  return proof === 'silent' ? 'silent' : 'serving';
+  const probed = await probeLeader(ctx, standby);
+  if (probed === 'gone') return 'over';
+  return probed === 'silent' ? 'silent' : 'serving';
 }
 
 /**
- * Whether this process reaches at least half of the other routers. One that
- * is cut off from everybody but the log would else claim cells whose leaders
- * are well.
+ * Whether this process reaches at least half of the other routers. Otherwise a
+ * router that can reach only the log would claim cells whose leaders are
+ * healthy.
  */
-async function isConnected(
-  {membership}: OrphanWatchOptions,
+async function reachesHalfOfRouters(
+  {membership}: BackupWatchOptions,
   {leader, standby}: View,
 ): Promise<boolean> {
   const others = membership
-    .others()
+    .otherCandidates()
     .filter(({host}) => host !== leader.host && host !== standby?.host);
-  const found = await membership.findOthers();
+  const found = await membership.findOtherIncarnations();
   const reached = found.filter(({host}) =>
     others.some(other => other.host === host),
   );
   return reached.length * 2 >= others.length;
 }
 
-/** This router's place among those that watch the cell, or null. */
+/** This router's rank among those that watch the cell, or null. */
 function watchRank(
   {self}: OwnershipContext,
   ring: Ring,
@@ -196,24 +216,27 @@
 ): number | null {
   if (isSameIncarnation(view.leader, self)) return null;
   if (isSameIncarnation(view.standby, self)) return null;
-  const hasRole = ({host}: RouterHost): boolean =>
+  const isLeaderOrStandby = ({host}: RouterHost): boolean =>
     host === view.leader.host || host === view.standby?.host;
-  const isOther = (router: RouterHost): boolean => !hasRole(router);
-  const order = [...pickFromRing(view.cell, ring, WATCHERS, isOther)];
-  // A host with a role comes last: it may be lost, or back as another run.
-  // Looking for one goes round the whole ring, so only where it is needed.
-  if (order.length < WATCHERS) {
-    order.push(...pickFromRing(view.cell, ring, WATCHERS, hasRole));
+  const isOther = (router: RouterHost): boolean => !isLeaderOrStandby(router);
+  const order = [...pickFromRing(view.cell, ring, MAX_WATCHERS, isOther)];
+  // The hosts of the leader and the standby rank last: they may be lost, or
+  // restarted as another incarnation. Finding them takes a pass over the whole
+  // ring, so it is done only if needed.
+  if (order.length < MAX_WATCHERS) {
+    order.push(
+      ...pickFromRing(view.cell, ring, MAX_WATCHERS, isLeaderOrStandby),
+    );
   }
   const rank = order.findIndex(({host}) => host === self.host);
-  if (rank >= 0 && rank < WATCHERS) return rank;
-  // Back as another run at the address of the leader or the standby, this
-  // process needs no message to know that the old one is over. It comes last,
-  // for the others may be lost as well.
-  const isBack = [view.leader, view.standby].some(
-    run => run?.address === self.address,
+  if (rank >= 0 && rank < MAX_WATCHERS) return rank;
+  // A process that restarted at the address of the leader or the standby knows
+  // without any message that the old process has ended. It watches too, with
+  // the last rank, because the other watchers may be lost as well.
+  const isRestarted = [view.leader, view.standby].some(
+    incarnation => incarnation?.address === self.address,
   );
-  return isBack ? WATCHERS : null;
+  return isRestarted ? MAX_WATCHERS : null;
 }
 
 function checksFences(ctx: OwnershipContext, {cell}: View): boolean {
--- a/packages/ownership/src/rebalance.ts
+++ b/packages/ownership/src/rebalance.ts
@@ -8,7 +8,7 @@
 import type {Membership} from './membership.js';
 import {resignCells} from './resignation.js';
 
-/** What planned transfers work with. */
+/** Dependencies of planned leadership transfers. */
 export interface TransferOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
@@ -16,40 +16,44 @@
   readonly leadership: Leadership;
 }
 
-/** A router must lead this many cells more than another to give one away. */
-const UNEVEN_BY = 2;
+/** Minimum difference in led cells between two routers for a transfer. */
+const MIN_DIFFERENCE = 2;
 
 /**
- * Evens leadership out, until everything ends: a router that leads clearly
- * more cells than another hands one over to it, and then waits for a while.
- * A new router thus gets its share slowly and without any cell being idle.
+ * Balances leadership among routers until the context's signal aborts. A router
+ * that leads clearly more cells than another hands one over to it, then waits
+ * for an interval. So a new router gets its share gradually, and no cell is
+ * left without a leader.
  */
 export async function runRebalance(options: TransferOptions): Promise<void> {
   const {ctx} = options;
   const {clock, timing, signal} = ctx;
   while (!signal.aborted) {
-    // Apart from the others', which would else all choose the same router.
-    const pauseMs = timing.rebalanceMs * (0.5 + ctx.random());
-    await sleep(clock, pauseMs, signal);
-    if (!signal.aborted) await moveOne(options);
+    // Jitter keeps routers from all choosing the same target at the same time.
+    const delayMs = timing.rebalanceIntervalMs * (0.5 + ctx.random());
+    await sleep(clock, delayMs, signal);
+    if (!signal.aborted) await transferOneCell(options);
   }
 }
 
-async function moveOne(options: TransferOptions): Promise<void> {
+async function transferOneCell(options: TransferOptions): Promise<void> {
   const {ctx, membership, leadership} = options;
-  const counts = countLed(ctx.store.current());
+  const counts = countLedCells(ctx.store.current());
   const countOf = ({host}: {readonly host: string}): number =>
     counts.get(host) ?? 0;
-  const [least] = [...membership.others()].sort(
+  const [leastLoaded] = [...membership.otherCandidates()].sort(
     (a, b) => countOf(a) - countOf(b) || (a.host < b.host ? -1 : 1),
   );
-  if (!least || countOf(ctx.self) < countOf(least) + UNEVEN_BY) return;
-  const movable = leadership.tenures().filter(tenure => tenure.isCleared());
-  const tenure = bestFor(least, movable);
-  if (tenure) await transfer(options, tenure, least);
+  if (!leastLoaded || countOf(ctx.self) < countOf(leastLoaded) + MIN_DIFFERENCE)
+    return;
+  const movable = leadership
+    .activeTenures()
+    .filter(tenure => tenure.isCleared());
+  const tenure = preferredTenure(leastLoaded, movable);
+  if (tenure) await transfer(options, tenure, leastLoaded);
 }
 
-/** Makes the target the cell's standby first, then resigns in its favour. */
+/** Makes the target the cell's standby, then resigns in its favour. */
 async function transfer(
   options: TransferOptions,
   tenure: Tenure,
@@ -60,9 +64,9 @@
     await makeStandby(options, tenure, target);
   }
   const isReady =
-    leadership.tenures().includes(tenure) &&
+    leadership.activeTenures().includes(tenure) &&
     tenure.holder.view().standby?.host === target.host &&
-    (await tenure.holder.synchronise());
+    (await tenure.holder.sendTableToStandby());
   if (isReady) await resignCells(ctx, leadership, [tenure]);
 }
 
@@ -71,19 +75,19 @@
   tenure: Tenure,
   target: RouterHost,
 ): Promise<void> {
-  const standby = await membership.find(target);
+  const standby = await membership.findIncarnation(target);
   const {cell, epoch: previous} = tenure.holder;
   const {store, clock, timing} = ctx;
   const isLogFresh = clock.now() - store.confirmedAt() < timing.authorityMs / 2;
   if (standby === null || !isLogFresh) return;
   const claim = {cell, previous, leader: ctx.self, standby, settled: true};
-  tenure.holder.forgoConsent();
+  tenure.holder.suspendConsent();
   const plan = {claim, table: null, clearedBefore: true};
   const outcome = await claimer.claim([plan]);
-  if (outcome === 'not-appended') tenure.holder.regainConsent(previous);
+  if (outcome === 'not-appended') tenure.holder.restoreConsent(previous);
 }
 
-function bestFor(
+function preferredTenure(
   target: RouterHost,
   tenures: readonly Tenure[],
 ): Tenure | undefined {
@@ -92,7 +96,7 @@
   return [...tenures].sort((a, b) => weight(b) - weight(a))[0];
 }
 
-function countLed(state: ClusterState): ReadonlyMap<string, number> {
+function countLedCells(state: ClusterState): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const {leader} of state.views.values()) {
     counts.set(leader.host, (counts.get(leader.host) ?? 0) + 1);
--- a/packages/ownership/src/resignation.ts
+++ b/packages/ownership/src/resignation.ts
@@ -8,14 +8,14 @@
 /**
  * Hands cells over to their standbys: stops acting first, then sends each
  * standby the final tables of all its cells in one message. Cells without a
- * standby are left alone.
+ * standby are not affected.
  *
- * Once the message was sent this process never acts on the old right again,
- * whatever is answered: the standby may claim and act at once.
+ * Once the message is sent, this process never acts on the old authority
+ * again, whatever the response: the standby may claim and act at once.
  *
  * @example
  * ```ts
- * await resignCells(ctx, leadership, leadership.tenures());
+ * await resignCells(ctx, leadership, leadership.activeTenures());
  * ```
  */
 export async function resignCells(
@@ -41,24 +41,24 @@
   tenures: readonly Tenure[],
 ): Promise<void> {
   const cells = await Promise.all(
-    tenures.map(tenure => stopCell(leadership, tenure)),
+    tenures.map(tenure => stopAndPackCell(leadership, tenure)),
   );
-  const {answerMs} = ctx.timing;
-  const res = await ctx.peers.ask(peer, 'resign', {cells}, answerMs);
+  const {responseTimeoutMs} = ctx.timing;
+  const res = await ctx.peers.ask(peer, 'resign', {cells}, responseTimeoutMs);
   const accepted = res.ok ? res.val.accepted.length : 0;
-  ctx.log.info('cells handed over', {
+  ctx.log.info('handed cells over to a standby', {
     to: peer.host,
     cells: cells.length,
     accepted,
   });
 }
 
-async function stopCell(
+async function stopAndPackCell(
   leadership: Leadership,
   tenure: Tenure,
 ): Promise<ResignedCell> {
   const {cell, epoch} = tenure.holder;
   const cleared = tenure.isCleared();
-  const table = await leadership.end(tenure);
+  const table = await leadership.endTenure(tenure);
   return {cell, epoch, cleared, table: table && toTableMessage(table)};
 }
--- a/packages/ownership/src/run-ownership.ts
+++ b/packages/ownership/src/run-ownership.ts
@@ -8,70 +8,70 @@
 import {createCatchUp} from './catch-up.js';
 import {createClaimer} from './claims.js';
 import {createCondition} from './condition.js';
-import {runConsent} from './consent.js';
-import {runDeparture, waitUntilFree} from './departure.js';
+import {runConsentLoop} from './consent.js';
+import {runLeaveLoop, waitUntilNoRoles} from './departure.js';
 import type {OwnershipContext} from './context.js';
 import type {OwnershipControl, OwnershipPeers} from './control.js';
-import {runFirstClaims} from './first-claims.js';
+import {runInitialClaims} from './first-claims.js';
 import {createHandlers} from './handlers.js';
 import type {StartCell} from './leadership.js';
 import {createLeadership} from './leadership.js';
 import type {LedCell} from './led-cell.js';
-import type {LiveHosts} from './membership.js';
+import type {HostListReader} from './membership.js';
 import {createMembership} from './membership.js';
-import {createWatchedLeaders, runOrphanWatch} from './orphan-watch.js';
+import {createWatchedLeaders, runBackupWatch} from './orphan-watch.js';
 import {createPauseDetector} from './pauses.js';
 import {createPeerTasks} from './peer-tasks.js';
 import {runRebalance} from './rebalance.js';
-import {createReachWatch} from './reach-watch.js';
+import {createReachabilityMonitor} from './reach-watch.js';
 import {createStandby} from './standby.js';
-import {createStandbyKeeper} from './standby-keeper.js';
+import {createStandbyManager} from './standby-keeper.js';
 import {runStandbyWatch} from './standby-watch.js';
 import {runTakeover} from './takeover.js';
 import type {AuthorityTiming} from './timing.js';
-import {createUnreached} from './unreached.js';
-import {viewsBackedBy} from './views.js';
+import {createUnreachableHandler} from './unreached.js';
+import {viewsWithStandby} from './views.js';
 
 export interface OwnershipOptions {
   readonly self: Incarnation;
   readonly store: StateStore;
-  readonly hosts: LiveHosts;
+  readonly hosts: HostListReader;
   readonly peers: OwnershipPeers;
   readonly clock: Clock;
   readonly log: Logger;
   readonly timing: AuthorityTiming;
-  /** Starts the leader's work for a cell, once for each epoch. */
+  /** Starts the leader of a cell, once for each tenure. */
   readonly startCell: StartCell;
-  /** Encodes the state for a peer that cannot read the log. */
+  /** Encodes the state for a router that cannot read the log. */
   readonly encodeState: (state: ClusterState) => string;
-  /** 0 to below 1, for jitter. */
+  /** Random number in [0, 1), for jitter. */
   readonly random?: () => number;
 }
 
-const STOP_LIMIT_MS = 5000;
+const STOP_TIMEOUT_MS = 5000;
 
 /** Views, authority and takeover of one router process. */
 export interface Ownership {
-  /** The cell's leader in this process, or null where another leads. */
+  /** The cell's leader if this process leads it, else null. */
   ledCell(cell: CellId): LedCell | null;
-  /** The newest view known; null where nobody leads the cell yet. */
+  /** The newest known view of the cell, or null if it has none yet. */
   leaderOf(cell: CellId): View | null;
-  /** For the peer server. */
+  /** Handlers of control messages, for the peer server. */
   readonly handlers: ControlHandlers<OwnershipControl>;
-  /** Calls `listener` after each change of views; returns how to stop. */
+  /** Calls `listener` after each change of views; returns an unsubscriber. */
   subscribe(listener: () => void): () => void;
   /**
-   * Hands all cells over, for `limitMs` at most, then gives up every right
-   * and ends all tasks. Must be over *before* the peer server stops
-   * listening: once another run of the process can answer at this address,
-   * the others take this one for gone.
+   * Hands all cells over, for `timeoutMs` at most, then revokes all authority
+   * and ends all tasks. Must complete *before* the peer server stops
+   * listening: once another incarnation can answer at this address, other
+   * routers consider this one terminated.
    */
-  stop(limitMs?: number): Promise<void>;
+  stop(timeoutMs?: number): Promise<void>;
 }
 
 /**
- * Runs ownership in a router: claims cells, keeps and gives consent, takes
- * over, and starts `startCell` for each cell and epoch that it leads.
+ * Runs ownership in a router: claims cells, requests and gives consent, takes
+ * cells over, and calls `startCell` for each tenure of a cell.
  *
  * @example
  * ```ts
@@ -90,71 +90,78 @@
   };
   let isStopping = false;
   const listeners = new Set<() => void>();
-  const withdrawn = createCondition(clock);
-  const changed = createCondition(clock);
+  const consentWithdrawn = createCondition(clock);
+  const viewsChanged = createCondition(clock);
   const membership = createMembership(ctx, options.hosts, () => isStopping);
   const claimer = createClaimer(ctx);
   const leadership = createLeadership(ctx, claimer, options.startCell);
   const catchUp = createCatchUp({...ctx, hosts: options.hosts});
-  const reach = createReachWatch(ctx);
+  const reachWatch = createReachabilityMonitor(ctx);
   const standby = createStandby(ctx, {
-    isLeaving: () => !membership.isWelcome(self.host),
-    isUnreached: reach.isUnreached,
-    onWithdrawn: withdrawn.notify,
+    isLeaving: () => !membership.mayKeepRoles(self.host),
+    isUnreached: reachWatch.isUnreachable,
+    onWithdrawn: consentWithdrawn.notify,
     onNewerEpoch: catchUp.pull,
   });
-  const departure = {ctx, membership, leadership};
-  const keeper = createStandbyKeeper(
+  const leaveOptions = {ctx, membership, leadership};
+  const standbyManager = createStandbyManager(
     ctx,
     membership,
     claimer,
     leadership,
-    changed,
+    viewsChanged,
   );
-  const {doubt} = keeper;
-  const noteUnreached = createUnreached({ctx, membership, leadership, doubt});
-  const consent = {ctx, membership, leadership, doubt, noteUnreached};
-  const asking = createPeerTasks((peer, ended) =>
-    runConsent(consent, peer, ended),
+  const {doubt} = standbyManager;
+  const noteUnreached = createUnreachableHandler({
+    ctx,
+    membership,
+    leadership,
+    doubt,
+  });
+  const consentOptions = {ctx, membership, leadership, doubt, noteUnreached};
+  const consentTasks = createPeerTasks((peer, taskSignal) =>
+    runConsentLoop(consentOptions, peer, taskSignal),
   );
-  const backed = createPeerTasks(async (peer, ended) => {
-    void reach.run(peer, ended);
-    await runStandbyWatch(ctx, standby, peer, ended);
+  const standbyWatchTasks = createPeerTasks(async (peer, taskSignal) => {
+    void reachWatch.run(peer, taskSignal);
+    await runStandbyWatch(ctx, standby, peer, taskSignal);
   });
-  const orphans = {ctx, membership, claimer};
-  const watchedLeaders = createWatchedLeaders(orphans);
-  const watched = createPeerTasks((peer, ended) =>
-    runOrphanWatch(orphans, peer, ended),
+  const orphanOptions = {ctx, membership, claimer};
+  const watchedLeaders = createWatchedLeaders(orphanOptions);
+  const orphanWatchTasks = createPeerTasks((peer, taskSignal) =>
+    runBackupWatch(orphanOptions, peer, taskSignal),
   );
 
   const reconcile = (): void => {
     leadership.reconcile();
     standby.reconcile();
-    asking.sync(
-      leadership.tenures().flatMap(({holder}) => holder.view().standby ?? []),
+    consentTasks.sync(
+      leadership
+        .activeTenures()
+        .flatMap(({holder}) => holder.view().standby ?? []),
     );
-    const backings = viewsBackedBy(store.current(), self);
-    backed.sync(backings.map(({leader}) => leader));
-    changed.notify();
+    const standbyViews = viewsWithStandby(store.current(), self);
+    standbyWatchTasks.sync(standbyViews.map(({leader}) => leader));
+    viewsChanged.notify();
     for (const listener of listeners) listener();
   };
 
-  // Who watches whom also depends on the host list, which changes silently.
+  // The watched leaders also depend on the host list, which does not notify.
   const watchOrphans = async (): Promise<void> => {
     while (!signal.aborted) {
-      watched.sync(watchedLeaders());
-      await sleep(clock, timing.watchMs, signal);
+      orphanWatchTasks.sync(watchedLeaders());
+      await sleep(clock, timing.watchIntervalMs, signal);
     }
   };
 
   const unsubscribe = store.subscribe(reconcile);
   reconcile();
   void catchUp.runUntilRead();
-  void runFirstClaims(ctx, membership, claimer, changed);
-  void runTakeover(ctx, membership, standby, claimer, withdrawn);
+  void runInitialClaims(ctx, membership, claimer, viewsChanged);
+  void runTakeover(ctx, membership, standby, claimer, consentWithdrawn);
   void runRebalance({ctx, membership, claimer, leadership});
-  void runDeparture(departure);
-  void keeper.run();
+  void runLeaveLoop(leaveOptions);
+  void standbyManager.run();
   void watchOrphans();
 
   return {
@@ -165,12 +172,13 @@
       listeners.add(listener);
       return () => void listeners.delete(listener);
     },
-    async stop(limitMs = STOP_LIMIT_MS) {
+    async stop(timeoutMs = STOP_TIMEOUT_MS) {
       isStopping = true;
-      await waitUntilFree(departure, limitMs);
+      await waitUntilNoRoles(leaveOptions, timeoutMs);
       unsubscribe();
       abort.abort();
-      for (const tasks of [asking, backed, watched]) tasks.stop();
+      for (const tasks of [consentTasks, standbyWatchTasks, orphanWatchTasks])
+        tasks.stop();
       await leadership.stop();
     },
   };
--- a/packages/ownership/src/standby.ts
+++ b/packages/ownership/src/standby.ts
@@ -2,35 +2,35 @@
 import {isSameIncarnation} from '@banyandrum/base/ids.js';
 import type {ClusterState, View} from '@banyandrum/config/state.js';
 import type {OwnershipContext} from './context.js';
-import type {ConsentAnswer, ConsentAsk, TableMessage} from './control.js';
+import type {ConsentResponse, ConsentRequest, TableMessage} from './control.js';
 import {fromTableMessage} from './control.js';
 import type {ShardTable} from './table.js';
-import {isAttestedLost, viewAt, viewsBackedBy} from './views.js';
+import {isAttestedLost, viewAt, viewsWithStandby} from './views.js';
 
-/** What this process keeps as the standby of one cell in one epoch. */
-export interface Backing {
+/** State of this process as the standby of one cell in one epoch. */
+export interface StandbyRole {
   readonly view: View;
-  /** When the leader last asked for consent. */
-  readonly heardAt: number;
-  /** When this process withdrew; null while it still consents. */
+  /** When the leader last requested consent. */
+  readonly lastRequestAt: number;
+  /** When this process withdrew consent; null while it still consents. */
   readonly withdrawnAt: number | null;
-  /** Set once the leader said that it has stopped. */
+  /** Set once the leader has resigned. */
   readonly resigned: {readonly cleared: boolean} | null;
   readonly table: ShardTable | null;
 }
 
-/** The standby's side of all cells that this process stands by for. */
+/** This process as the standby of cells. */
 export interface Standby {
-  /** Brings the roles in line with the newest views. */
+  /** Updates the roles to the newest views. */
   reconcile(): void;
-  /** Roles of epochs that are current as far as this process knows. */
-  backings(): readonly Backing[];
-  backing(cell: CellId, epoch: Offset): Backing | null;
-  answerConsent(from: Incarnation, ask: ConsentAsk): ConsentAnswer;
+  /** Roles in the newest epochs that this process knows. */
+  roles(): readonly StandbyRole[];
+  role(cell: CellId, epoch: Offset): StandbyRole | null;
+  answerConsent(from: Incarnation, ask: ConsentRequest): ConsentResponse;
   storeTable(from: Incarnation, message: TableMessage): boolean;
-  /** Ends consent for good; there is no way back within the epoch. */
+  /** Withdraws consent; this cannot be undone within the epoch. */
   withdraw(cell: CellId, epoch: Offset): void;
-  /** Notes the leader's resignation, which also ends consent. */
+  /** Records the leader's resignation, which also withdraws consent. */
   acceptResignation(
     from: Incarnation,
     cell: CellId,
@@ -45,7 +45,7 @@
 export interface StandbyOptions {
   /** Whether this process stops soon. */
   readonly isLeaving: () => boolean;
-  /** Whether new connections to a leader get no answer. */
+  /** Whether new connections to a leader fail. */
   readonly isUnreached: (leader: Incarnation) => boolean;
   /** Called after each withdrawal. */
   readonly onWithdrawn: () => void;
@@ -53,12 +53,12 @@
   readonly onNewerEpoch: (leader: Incarnation) => void;
 }
 
-type MutableBacking = {-readonly [K in keyof Backing]: Backing[K]};
+type MutableStandbyRole = {-readonly [K in keyof StandbyRole]: StandbyRole[K]};
 
 /**
- * Keeps consent, withdrawal and tables of the cells that this process stands
- * by for. All of it is lost with the process, which is why views name
- * incarnations: the next run is no standby and consents to nothing.
+ * Keeps the consent, withdrawals and tables of the cells for which this process
+ * is the standby. All of it is lost when the process ends, which is why views
+ * name incarnations: the next incarnation is not a standby and never consents.
  *
  * @example
  * ```ts
@@ -69,7 +69,7 @@
   ctx: OwnershipContext,
   options: StandbyOptions,
 ): Standby {
-  const roles = new Map<CellId, MutableBacking>();
+  const roles = new Map<CellId, MutableStandbyRole>();
   let reconciled: ClusterState | null = null;
 
   const reconcile = (): void => {
@@ -79,19 +79,19 @@
     for (const {view} of [...roles.values()]) {
       if (!viewAt(state, view.cell, view.epoch)) roles.delete(view.cell);
     }
-    for (const view of viewsBackedBy(state, ctx.self)) {
+    for (const view of viewsWithStandby(state, ctx.self)) {
       if (roles.has(view.cell)) continue;
-      roles.set(view.cell, createBacking(view, ctx.clock.now()));
+      roles.set(view.cell, createStandbyRole(view, ctx.clock.now()));
     }
   };
 
-  // Reconciles first, so that an answer never rests on an older view than
-  // the newest that this process has read.
+  // Reconciles first, so that a response never rests on a view older than the
+  // newest that this process has read.
   const roleFor = (
     from: Incarnation,
     cell: CellId,
     epoch: Offset,
-  ): MutableBacking | null => {
+  ): MutableStandbyRole | null => {
     reconcile();
     const known = ctx.store.current().views.get(cell)?.epoch ?? 0;
     if (epoch > known) options.onNewerEpoch(from);
@@ -100,47 +100,47 @@
     return isSameIncarnation(role.view.leader, from) ? role : null;
   };
 
-  const consentTo = (
+  const giveConsent = (
     from: Incarnation,
     cell: CellId,
     epoch: Offset,
   ): boolean => {
     const role = roleFor(from, cell, epoch);
     if (role === null) return false;
-    role.heardAt = ctx.clock.now();
-    // An operator's word that this run is lost may have cleared a successor.
+    role.lastRequestAt = ctx.clock.now();
+    // A successor may already act if an operator attested this one lost.
     const isLost = isAttestedLost(ctx.store.current(), ctx.self);
     return role.withdrawnAt === null && !isLost;
   };
 
-  const withdraw = (role: MutableBacking): void => {
+  const withdraw = (role: MutableStandbyRole): void => {
     role.withdrawnAt ??= ctx.clock.now();
     options.onWithdrawn();
   };
 
   return {
     reconcile,
-    backings() {
+    roles() {
       reconcile();
       return [...roles.values()];
     },
-    backing(cell, epoch) {
+    role(cell, epoch) {
       reconcile();
       const role = roles.get(cell);
       return role?.view.epoch === epoch ? role : null;
     },
     answerConsent(from, {cells}) {
       const granted = cells
-        .filter(({cell, epoch}) => consentTo(from, cell, epoch))
+        .filter(({cell, epoch}) => giveConsent(from, cell, epoch))
         .map(({cell}) => cell);
       const unreached = options.isUnreached(from);
       return {granted, leaving: options.isLeaving(), unreached};
     },
     storeTable(from, message) {
       const role = roleFor(from, message.cell, message.epoch);
-      // Once withdrawn, the table is what this process takes over from. A
-      // later change would be acknowledged to the old leader, carried out at
-      // a server, and missing from what the new leader knows.
+      // After a withdrawal, this process takes over from the table it has. A
+      // later change would be acknowledged to the old leader and carried out
+      // at a server, but be missing from the new leader's table.
       if (role === null || role.withdrawnAt !== null) return false;
       return storeNewer(role, message);
     },
@@ -152,7 +152,7 @@
     acceptResignation(from, cell, epoch, {cleared, table}) {
       const role = roleFor(from, cell, epoch);
       if (role === null) return false;
-      // A table that came before the withdrawal is no newer than this one.
+      // No table stored before the withdrawal is newer than this one.
       if (table !== null) role.table = table;
       role.resigned = {cleared};
       withdraw(role);
@@ -161,10 +161,10 @@
   };
 }
 
-function createBacking(view: View, now: number): MutableBacking {
+function createStandbyRole(view: View, now: number): MutableStandbyRole {
   return {
     view,
-    heardAt: now,
+    lastRequestAt: now,
     withdrawnAt: null,
     resigned: null,
     table: null,
@@ -172,10 +172,11 @@
 }
 
 /**
- * Keeps the newer table. A second one of the same version is acknowledged
- * only if it says the same, as when a reply was lost and it is sent again.
+ * Stores the table if it is newer. A table of the same version is acknowledged
+ * only if it has the same entries, as when the leader retries after a lost
+ * response.
  */
-function storeNewer(role: MutableBacking, message: TableMessage): boolean {
+function storeNewer(role: MutableStandbyRole, message: TableMessage): boolean {
   const table = fromTableMessage(message);
   const known = role.table;
   const isNewer = known === null || table.version > known.version;
--- a/packages/ownership/src/takeover.ts
+++ b/packages/ownership/src/takeover.ts
@@ -3,16 +3,16 @@
 import type {Condition} from './condition.js';
 import type {OwnershipContext} from './context.js';
 import type {Membership} from './membership.js';
-import type {Backing, Standby} from './standby.js';
+import type {StandbyRole, Standby} from './standby.js';
 
-const FIRST_BACKOFF_MS = 100;
+const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 2000;
 
 /**
- * Claims the cells whose consent this process ended as their standby, all
- * that it knows of in one record, until the signal aborts. Where the log
- * does not take the claim it tries on with growing pauses; the withdrawal
- * stands, whatever comes of the claim.
+ * Claims the cells for which this process withdrew its consent as the standby,
+ * all known ones in one record, until the signal aborts. Retries with
+ * exponential backoff if the log does not accept the claim; the withdrawal
+ * stands in any case.
  */
 export async function runTakeover(
   ctx: OwnershipContext,
@@ -22,12 +22,12 @@
   withdrawn: Condition,
 ): Promise<void> {
   const {clock, timing, signal} = ctx;
-  let backoffMs = FIRST_BACKOFF_MS;
+  let backoffMs = MIN_BACKOFF_MS;
   while (!signal.aborted) {
-    const roles = standby.backings().filter(role => role.withdrawnAt !== null);
+    const roles = standby.roles().filter(role => role.withdrawnAt !== null);
     if (roles.length === 0) {
-      backoffMs = FIRST_BACKOFF_MS;
-      await withdrawn.wait(timing.watchMs, signal);
+      backoffMs = MIN_BACKOFF_MS;
+      await withdrawn.wait(timing.watchIntervalMs, signal);
       continue;
     }
     const plans = await Promise.all(
@@ -43,7 +43,7 @@
 async function planTakeover(
   ctx: OwnershipContext,
   membership: Membership,
-  role: Backing,
+  role: StandbyRole,
 ): Promise<ClaimPlan> {
   const {cell, epoch, leader} = role.view;
   const standby = await membership.findStandby(cell, leader);
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -1,44 +1,45 @@
 import type {Timing} from '@banyandrum/config/rules.js';
 
-/** Times of views and authority, in ms, derived from the published ones. */
+/** Timing of views and authority, derived from the published rules. */
 export interface AuthorityTiming {
-  /** How long one confirmation lets a leader act. */
+  /** How long a leader may act after one confirmation. */
   readonly authorityMs: number;
-  /** Silence after which a standby doubts its leader. */
+  /** Silence after which a standby suspects its leader. */
   readonly suspicionMs: number;
-  /** Silence after which a leader doubts its standby. */
-  readonly standbySilenceMs: number;
+  /** Silence after which a leader suspects its standby. */
+  readonly standbyTimeoutMs: number;
   /**
-   * How old the newest reading of the log may be for a claim to be worth
-   * trying. Longer than T: a slow log is no reason to leave cells alone.
+   * Maximum age of the newest reading of the log at which a claim is still
+   * tried. Longer than `authorityMs`: a slow log is no reason to leave cells
+   * without a leader.
    */
-  readonly logPatienceMs: number;
-  /** Between two questions for consent. */
-  readonly consentMs: number;
-  /** Longest wait for the answer to a control question or a probe. */
-  readonly answerMs: number;
-  /** Between two looks of a watching task. */
-  readonly tickMs: number;
-  /** Between two questions to the leader of a cell without a role in it. */
-  readonly watchMs: number;
-  /** How much longer each lower rank waits before it claims. */
-  readonly rankMs: number;
-  /** Between two planned transfers that even out leadership. */
-  readonly rebalanceMs: number;
+  readonly maxLogAgeMs: number;
+  /** Interval between requests for consent. */
+  readonly consentIntervalMs: number;
+  /** Timeout of a control request or a probe. */
+  readonly responseTimeoutMs: number;
+  /** Poll interval of watching tasks. */
+  readonly pollIntervalMs: number;
+  /** Interval of checks on leaders by routers without a role in the cell. */
+  readonly watchIntervalMs: number;
+  /** Additional delay before a claim for each lower rank. */
+  readonly rankDelayMs: number;
+  /** Interval between planned transfers that balance leadership. */
+  readonly rebalanceIntervalMs: number;
   readonly driftPpm: number;
 }
 
 const FIXED_MARGIN_MS = 20;
 const PER_MILLION = 1_000_000;
-const REBALANCE_MS = 10_000;
-const LOG_PATIENCE = 5;
+const REBALANCE_INTERVAL_MS = 10_000;
+const MAX_LOG_AGE_FACTOR = 5;
 
 /**
- * Derives the times of this package from the published ones.
+ * Derives this package's timing from the published rules.
  *
- * They must not change while the process runs, and `authorityMs` must be
- * alike in all routers: a successor waits its own `authorityMs` for the old
- * leader to stop, which the old leader counts by its own.
+ * It must not change while the process runs, and `authorityMs` must be equal
+ * in all routers: a successor waits for its own `authorityMs` until the old
+ * leader has stopped, which in turn measures by its own value.
  *
  * @example
  * ```ts
@@ -50,29 +51,30 @@
   return {
     authorityMs,
     suspicionMs,
-    // Shorter than the standby's own suspicion, so that where only the way
-    // between the two is cut, the leader keeps its cells.
-    standbySilenceMs: (suspicionMs * 2) / 3,
-    logPatienceMs: LOG_PATIENCE * authorityMs,
-    consentMs: suspicionMs / 3,
-    answerMs: suspicionMs / 3,
-    tickMs: suspicionMs / 10,
-    watchMs: suspicionMs,
-    rankMs: authorityMs,
-    rebalanceMs: REBALANCE_MS,
+    // Shorter than the standby's timeout, so that the leader keeps its cells
+    // if only the connection between the two fails.
+    standbyTimeoutMs: (suspicionMs * 2) / 3,
+    maxLogAgeMs: MAX_LOG_AGE_FACTOR * authorityMs,
+    consentIntervalMs: suspicionMs / 3,
+    responseTimeoutMs: suspicionMs / 3,
+    pollIntervalMs: suspicionMs / 10,
+    watchIntervalMs: suspicionMs,
+    rankDelayMs: authorityMs,
+    rebalanceIntervalMs: REBALANCE_INTERVAL_MS,
     driftPpm,
   };
 }
 
 /**
- * The shortest wait on this clock after which `ms` have passed on any other.
+ * Returns the shortest wait on this clock after which `ms` have passed on every
+ * other clock.
  *
  * @example
  * ```ts
- * withMargin({driftPpm: 10_000}, 1000); // 1030
+ * withClockMargin({driftPpm: 10_000}, 1000); // 1030
  * ```
  */
-export function withMargin(
+export function withClockMargin(
   timing: {readonly driftPpm: number},
   ms: number,
 ): number {
--- a/packages/ownership/src/unreached.ts
+++ b/packages/ownership/src/unreached.ts
@@ -4,80 +4,85 @@
 import type {Membership} from './membership.js';
 import {resignCells} from './resignation.js';
 
-export interface UnreachedOptions {
+export interface UnreachableHandlerOptions {
   readonly ctx: OwnershipContext;
   readonly membership: Membership;
   readonly leadership: Leadership;
   readonly doubt: (tenures: readonly Tenure[], reason: string) => void;
 }
 
-/** Told that a standby's new connections to this leader get no answer. */
-export type NoteUnreached = (
+/** Called when a standby's new connections to this leader get no answer. */
+export type UnreachableHandler = (
   standby: Incarnation,
   tenures: readonly Tenure[],
 ) => void;
 
-const WITNESSES = 3;
+const MAX_ROUTERS_ASKED = 3;
 
-type Testimony = 'reached' | 'unreached' | 'unknown';
+type Reachability = 'reached' | 'unreached' | 'unknown';
 
 /**
- * Acts on a standby's word that it cannot reach this leader. Other routers
- * are asked to try: if none of them gets through either, the cells go to the
- * standby; if one does, the fault is the standby's, and another replaces it;
- * if nobody answers, nothing is known and nothing is done.
+ * Creates the handler for a standby's report that it cannot reach this leader.
+ * It asks other routers to probe this one. If all that answer fail as well,
+ * the cells are handed over to the standby. If one succeeds, the fault lies
+ * with the standby, which is replaced. If none answers, the cause is unknown
+ * and nothing is done.
  *
  * @example
  * ```ts
- * const noteUnreached = createUnreached(options);
- * if (answer.unreached) noteUnreached(standby, tenures);
+ * const handleUnreachable = createUnreachableHandler(options);
+ * if (answer.unreached) handleUnreachable(standby, tenures);
  * ```
  */
-export function createUnreached(options: UnreachedOptions): NoteUnreached {
+export function createUnreachableHandler(
+  options: UnreachableHandlerOptions,
+): UnreachableHandler {
   const {ctx, leadership, doubt} = options;
-  let asking = false;
+  let isExamining = false;
 
   const examine = async (
     standby: Incarnation,
     tenures: readonly Tenure[],
   ): Promise<void> => {
-    const testimony = await askWitnesses(options, standby);
-    if (testimony === 'unknown') return;
-    if (testimony === 'reached') return doubt(tenures, 'cannot reach us');
-    const ready = tenures.filter(({holder}) => !holder.hasOpenClaim());
-    ctx.log.warn('nobody reaches this router', {cells: ready.length});
+    const reachability = await askOtherRouters(options, standby);
+    if (reachability === 'unknown') return;
+    if (reachability === 'reached') return doubt(tenures, 'cannot reach us');
+    const ready = tenures.filter(({holder}) => !holder.hasPendingClaim());
+    ctx.log.warn('other routers cannot reach this router', {
+      cells: ready.length,
+    });
     await resignCells(ctx, leadership, ready);
   };
 
   return (standby, tenures) => {
-    if (asking) return;
-    asking = true;
+    if (isExamining) return;
+    isExamining = true;
     void examine(standby, tenures).finally(() => {
-      asking = false;
+      isExamining = false;
     });
   };
 }
 
-async function askWitnesses(
-  {ctx, membership}: UnreachedOptions,
+async function askOtherRouters(
+  {ctx, membership}: UnreachableHandlerOptions,
   standby: Incarnation,
-): Promise<Testimony> {
+): Promise<Reachability> {
   const others = membership
-    .others()
+    .otherCandidates()
     .filter(({host}) => host !== standby.host)
     .map(router => ({router, order: ctx.random()}))
     .sort((a, b) => a.order - b.order)
-    .slice(0, WITNESSES);
-  const said = await Promise.all(
-    others.map(async ({router}): Promise<Testimony> => {
-      const found = await membership.find(router);
+    .slice(0, MAX_ROUTERS_ASKED);
+  const answers = await Promise.all(
+    others.map(async ({router}): Promise<Reachability> => {
+      const found = await membership.findIncarnation(router);
       if (found === null) return 'unknown';
-      const {answerMs} = ctx.timing;
+      const {responseTimeoutMs: answerMs} = ctx.timing;
       const res = await ctx.peers.ask(found, 'reach', {}, 2 * answerMs);
       if (!res.ok) return 'unknown';
       return res.val.reached ? 'reached' : 'unreached';
     }),
   );
-  if (said.includes('reached')) return 'reached';
-  return said.includes('unreached') ? 'unreached' : 'unknown';
+  if (answers.includes('reached')) return 'reached';
+  return answers.includes('unreached') ? 'unreached' : 'unknown';
 }
--- a/packages/ownership/test/cell-leader.test.ts
+++ b/packages/ownership/test/cell-leader.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import {
   type Fixture,
-  FOREIGN_MS,
+  FORMER_LEASES_MS,
   SHARDS,
   createFixture,
   createLoad,
@@ -14,40 +14,37 @@
   {kind: 'not checking', checksFences: false},
 ];
 
-/** A key that the server owns now. */
+/** Returns a key that server a owns at present. */
 function keyAt(fixture: Fixture, owners: ReadonlyMap<string, string>): string {
   for (const [shard, name] of owners) if (name === 'a') return keyOf(+shard);
-  throw new Error(`nothing at a, ${fixture.clock.now()}`);
+  throw new Error(`server a owns nothing at ${fixture.clock.now()} ms`);
 }
 
 for (const {kind, checksFences} of KINDS) {
   void tap.test(`${kind}: a new cell spreads its shards`, async t => {
     const paceOf = (name: string): number => (name === 'a' ? 1.01 : 0.99);
     const fixture = createFixture({checksFences, paceOf});
-    const led = fixture.lead();
-    await fixture.advance(FOREIGN_MS + 20);
+    const led = fixture.startLeader();
+    await fixture.advance(FORMER_LEASES_MS + 20);
     const owners = led.owners();
     t.equal(owners.size, SHARDS);
     for (const name of ['a', 'b', 'c']) {
       t.equal(led.shardsOf(name).length, SHARDS / 3);
-      const belief = fixture.fakes.get(name).belief('holds/0');
-      t.same(
-        [...(belief?.shards ?? [])].sort(),
-        [...led.shardsOf(name)].sort(),
-      );
+      const lease = fixture.fakes.get(name).activeLease('holds/0');
+      t.same([...(lease?.shards ?? [])].sort(), [...led.shardsOf(name)].sort());
     }
-    t.equal(led.where(keyOf(3)), owners.get('3'));
+    t.equal(led.locationOf(keyOf(3)), owners.get('3'));
     await fixture.advance(10_000);
     t.same(led.owners(), owners, 'nothing moves by itself');
     t.same([...fixture.violations], []);
     await fixture.stop(led);
-    t.equal(led.where(keyOf(3)), 'unowned');
+    t.equal(led.locationOf(keyOf(3)), 'unowned');
   });
 
   void tap.test(`${kind}: a drained server is emptied`, async t => {
     const fixture = createFixture({checksFences});
     fixture.drainMs = 100;
-    const led = fixture.lead();
+    const led = fixture.startLeader();
     await fixture.advance(5000);
     const before = led.owners();
     fixture.drains.add('a');
@@ -63,7 +60,7 @@
   });
 }
 
-void tap.test('whichever sign of leaving comes first counts', async t => {
+void tap.test('the first sign that a server is leaving counts', async t => {
   const signs: Record<string, (fixture: Fixture) => void> = {
     'operator drains': ({drains}) => void drains.add('a'),
     'removed from the inventory': fixture => {
@@ -83,7 +80,7 @@
   };
   for (const [sign, give] of Object.entries(signs)) {
     const fixture = createFixture();
-    const led = fixture.lead();
+    const led = fixture.startLeader();
     await fixture.advance(5000);
     t.equal(led.shardsOf('a').length, SHARDS / 3);
     give(fixture);
@@ -94,11 +91,11 @@
   }
 });
 
-// Every server says that it leaves, which can only be a mistake. The keys
-// stay where they are: nobody else could take them.
-void tap.test('a server that leaves keeps what nobody can take', async t => {
+// Every server is reported as leaving, which can only be a mistake. The shards
+// stay where they are, since no other server could take them.
+void tap.test('a leaving server keeps what no other can take', async t => {
   const fixture = createFixture({names: ['a']});
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(5000);
   fixture.drains.add('a');
   await fixture.advance(5000);
@@ -106,9 +103,9 @@
   await fixture.stop(led);
 });
 
-void tap.test('a server that joins gets shards, more as it warms', async t => {
+void tap.test('a joining server gets more shards as it warms up', async t => {
   const fixture = createFixture({names: ['a', 'b']});
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(40_000);
   fixture.fakes.add('c');
   fixture.servers = [...fixture.servers, toServer('c')];
@@ -122,12 +119,12 @@
   await fixture.stop(led);
 });
 
-// A claim becomes contested: its key takes most of a server. It becomes a
-// shard of its own without leaving its server; then shards move. Later nobody
-// asks for it any more, and it becomes part of its hash range again.
+// One key uses most of a server. It becomes a shard of its own without leaving
+// its server, and other shards move away. When its load ends, it becomes part
+// of its hash range again.
 void tap.test('a hot key is split off and merged back', async t => {
   const fixture = createFixture();
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(40_000);
   const key = keyAt(fixture, led.owners());
   fixture.load = createLoad([{key, rate: 100, busy: 3}]);
@@ -136,28 +133,28 @@
   t.equal(location.shard, `k:${key}`);
   t.equal(led.owners().size, SHARDS + 1);
   await fixture.advance(20_000);
-  t.equal(led.where(key), 'a', 'the hot key stays');
-  t.ok(led.shardsOf('a').length < SHARDS / 3, 'its neighbours go');
+  t.equal(led.locationOf(key), 'a', 'the hot key stays');
+  t.ok(led.shardsOf('a').length < SHARDS / 3, 'other shards move away');
   t.ok(led.recorded()?.entries.some(entry => entry.shard === `k:${key}`));
   fixture.load = createLoad();
   await fixture.advance(120_000);
   t.equal(led.owners().size, SHARDS);
   t.not(led.leader.led.locate(key).shard, `k:${key}`);
-  for (const {name, belief} of fixture.fakes.servers.values()) {
+  for (const {name, activeLease: belief} of fixture.fakes.servers.values()) {
     t.notOk(belief('holds/0')?.shards.includes(`k:${key}`), name);
   }
   t.same([...fixture.violations], []);
   await fixture.stop(led);
 });
 
-void tap.test('long requests hold up only what must go', async t => {
-  // A report of 5 s runs for every shard. A server joins: its gain would be
-  // balance, so each shard's callers wait a second at most in half a minute,
-  // and the shards stay. An operator drains a server: its reports end in
-  // peace, its shards stay with it until then, and newcomers wait.
+void tap.test('long requests delay only mandatory moves', async t => {
+  // A request of 5 s runs for every shard. When a server joins, moves only
+  // improve balance: each shard's callers wait for at most 1 s in 30 s, and the
+  // shards stay. When an operator drains a server, its requests finish, its
+  // shards stay with it until then, and new requests wait.
   for (const checksFences of [true, false]) {
     const fixture = createFixture({names: ['a'], checksFences});
-    const led = fixture.lead();
+    const led = fixture.startLeader();
     await fixture.advance(40_000);
     fixture.drainMs = 5000;
     fixture.fakes.add('c');
@@ -170,14 +167,14 @@
       }
     }
     t.same(led.shardsOf('c'), [], 'nothing moved');
-    t.ok(closed.size > 0, 'it was tried');
-    t.ok(Math.max(...closed.values()) <= 1100, 'for a second each');
+    t.ok(closed.size > 0, 'moves were attempted');
+    t.ok(Math.max(...closed.values()) <= 1100, 'for at most a second each');
     t.equal(led.gateClosed.size, 0);
     fixture.drains.add('a');
     await fixture.advance(4500);
-    t.equal(led.gateClosed.size, SHARDS, 'no new work for any');
-    const held = fixture.fakes.get('a').belief('holds/0')?.shards;
-    t.equal(held?.length, SHARDS, 'none has been taken');
+    t.equal(led.gateClosed.size, SHARDS, 'no new request is dispatched');
+    const leased = fixture.fakes.get('a').activeLease('holds/0')?.shards;
+    t.equal(leased?.length, SHARDS, 'none was released yet');
     await fixture.advance(15_000);
     t.same(led.shardsOf('a'), []);
     t.equal(led.owners().size, SHARDS);
@@ -187,12 +184,11 @@
 });
 
 // A key becomes a shard of its own while requests for it are in flight under
-// its hash range. Only once they have finished may it count as another shard:
-// that shard may go elsewhere at once, and a late request would then run at
-// two servers.
+// its hash range. The split must wait until they have finished: the new shard
+// may move at once, and a key with a late request would run at two servers.
 void tap.test('a split waits for requests in flight', async t => {
   const fixture = createFixture();
-  const led = fixture.lead();
+  const led = fixture.startLeader();
   await fixture.advance(4000);
   const key = keyAt(fixture, led.owners());
   const {shard} = led.leader.led.locate(key);
@@ -200,8 +196,8 @@
   fixture.load = createLoad([{key, rate: 100, busy: 3}]);
   while (!led.gateClosed.has(shard)) await fixture.advance(20);
   const closedAt = fixture.clock.now();
-  t.equal(led.where(key), 'moving');
-  while (led.where(key) !== 'a') await fixture.advance(20);
+  t.equal(led.locationOf(key), 'moving');
+  while (led.locationOf(key) !== 'a') await fixture.advance(20);
   t.equal(led.leader.led.locate(key).shard, `k:${key}`);
   t.ok(fixture.clock.now() - closedAt >= 280);
   t.same([...led.gateClosed], []);
--- a/packages/ownership/test/support/world.ts
+++ b/packages/ownership/test/support/world.ts
@@ -20,25 +20,25 @@
 import type {FakeProcess} from './process.js';
 import {createFakeProcess} from './process.js';
 
-/** One process that was started to lead a cell. */
-export interface Holder {
+/** A process that was started to lead a cell. */
+export interface FakeLeader {
   readonly host: string;
   readonly cell: string;
   readonly epoch: number;
   readonly process: FakeProcess;
-  /** The table that it started from. */
+  /** The table that it inherited; null if it had none. */
   readonly inherited: ShardTable | null;
   mayAct(): boolean;
   isCleared(): boolean;
 }
 
-interface MutableHolder extends Holder {
+interface MutableFakeLeader extends FakeLeader {
   readonly name: string;
   cleared: boolean;
-  /** Newest version of the table that was acknowledged. */
-  recorded: number;
-  /** The version that a successor started from. */
-  passedOn: number;
+  /** Newest version of its table that the standby acknowledged. */
+  recordedVersion: number;
+  /** Version of its table that a successor inherited; infinite until then. */
+  successorVersion: number;
 }
 
 export interface FakeRouter {
@@ -46,41 +46,41 @@
   readonly ownership: Ownership;
 }
 
-/** Several routers in one test, on one manual clock. */
-export interface World {
+/** Simulated routers on one manual clock. */
+export interface FakeCluster {
   readonly clock: ManualClock;
   readonly network: Network;
   readonly log: FakeLog;
   readonly faults: LogFaults;
-  readonly holders: readonly Holder[];
-  /** What went wrong with "one holder at most", if anything. */
+  readonly leaders: readonly FakeLeader[];
+  /** Violations of the rule that a cell has at most one leader at a time. */
   readonly violations: readonly string[];
-  /** Starts, or starts anew, the router on a host. */
+  /** Starts or restarts the router on a host. */
   start(host: string): FakeRouter;
   router(host: string): FakeRouter;
   hosts: Host[];
-  /** The holder that may act for the cell without limits, or null. */
-  acting(cell?: string): Holder | null;
-  /** An operator's word that a run is lost. */
+  /** The running leader that may act for the cell and is cleared, or null. */
+  activeLeader(cell?: string): FakeLeader | null;
+  /** Appends an operator's attestation that a router instance is lost. */
   attest(incarnation: Incarnation): void;
-  /** An operator drains a router. */
+  /** Appends an operator's record that drains a router. */
   drain(host: string): void;
   /** How often the router on a host withdrew its consent. */
   withdrawals(host: string): number;
-  /** Advances until the condition holds; ms that took, -1 after `limit`. */
-  until(condition: () => boolean, limitMs: number): Promise<number>;
-  /** Advances; yields the longest time without an acting holder, in ms. */
+  /** Advances until the condition holds; returns the ms, or -1 on timeout. */
+  waitUntil(condition: () => boolean, limitMs: number): Promise<number>;
+  /** Advances; returns the longest time without an active leader, in ms. */
   longestGap(ms: number): Promise<number>;
 }
 
-export interface WorldOptions {
+export interface FakeClusterOptions {
   readonly hosts: readonly string[];
   readonly cells?: number;
   readonly checksFences?: boolean;
-  /** Between two changes of a cell's table; none by default. */
+  /** Interval between changes of a table, in ms; only one change if omitted. */
   readonly changeMs?: number;
   readonly random?: () => number;
-  /** Speeds of the routers' clocks, in the order of the hosts. */
+  /** Rates of the routers' clocks, in the order of the hosts; 1 by default. */
   readonly rates?: readonly number[];
 }
 
@@ -88,7 +88,7 @@
 const CHANGE = {changeId: 'c1', author: 'ann', reason: 'test', at: 'now'};
 export const CELL = 'holds/0';
 
-export function createWorld(options: WorldOptions): World {
+export function createFakeCluster(options: FakeClusterOptions): FakeCluster {
   const clock = createManualClock();
   const network = createNetwork(clock);
   const log: FakeLog = [];
@@ -100,20 +100,20 @@
   };
   const endpoints = new Map<string, Endpoint>();
   const routers = new Map<string, FakeRouter>();
-  const holders: MutableHolder[] = [];
+  const leaders: MutableFakeLeader[] = [];
   const violations: string[] = [];
   const initial = initialState(options);
   const withdrawals = new Map<string, number>();
   let boots = 0;
 
-  const violate = (what: string): void =>
+  const addViolation = (what: string): void =>
     void violations.push(`${clock.now().toFixed(0)} ms: ${what}`);
   const check = (): void => {
-    const found = findViolation(holders);
-    if (found) violate(found);
+    const found = findViolation(leaders);
+    if (found) addViolation(found);
   };
-  // Checks after every single timer, since what one event makes possible
-  // may be over before the next.
+  // Checks after every timer, since a violation that one event causes may end
+  // with the next one.
   const checked: ManualClock = {
     ...clock,
     after: (ms, task) =>
@@ -131,7 +131,7 @@
     const ownership = createOwnership({
       self: incarnation,
       store: createFakeStore(process, network, log, faults, initial),
-      hosts: {current: () => world.hosts},
+      hosts: {current: () => cluster.hosts},
       peers: createFakePeers(process, network, endpoints),
       clock: process.clock,
       log: {
@@ -142,7 +142,12 @@
         },
       },
       timing: deriveTiming(initial.rules.timing),
-      startCell: createStartCell(process, holders, violate, options.changeMs),
+      startCell: createStartCell(
+        process,
+        leaders,
+        addViolation,
+        options.changeMs,
+      ),
       encodeState,
       random: options.random ?? (() => 0.5),
     });
@@ -155,8 +160,8 @@
     return router;
   };
 
-  const world: World = {
-    ...{clock: checked, network, log, faults, holders, violations, start},
+  const cluster: FakeCluster = {
+    ...{clock: checked, network, log, faults, leaders, violations, start},
     hosts: options.hosts.map(toHost),
     router(host) {
       const router = routers.get(host);
@@ -171,9 +176,9 @@
       log.push(encodeRecord({kind: 'drain', ...drain, ...CHANGE}));
     },
     withdrawals: host => withdrawals.get(host) ?? 0,
-    acting: (cell = CELL) =>
-      holders.find(h => h.cell === cell && isActing(h)) ?? null,
-    async until(condition, limitMs) {
+    activeLeader: (cell = CELL) =>
+      leaders.find(h => h.cell === cell && isActive(h)) ?? null,
+    async waitUntil(condition, limitMs) {
       for (let ms = 0; ms <= limitMs; ms += STEP_MS) {
         if (condition()) return ms;
         await clock.advance(STEP_MS);
@@ -185,32 +190,32 @@
       let gap = 0;
       for (let spent = 0; spent < ms; spent += STEP_MS) {
         await clock.advance(STEP_MS);
-        gap = world.acting() === null ? gap + STEP_MS : 0;
+        gap = cluster.activeLeader() === null ? gap + STEP_MS : 0;
         longest = Math.max(longest, gap);
       }
       return longest;
     },
   };
   for (const host of options.hosts) start(host);
-  return world;
+  return cluster;
 }
 
-/** May act, at servers that do not check fences too. */
-function isActing(holder: Holder): boolean {
-  const {process} = holder;
+/** Whether it may act, also at servers that don't check fences. */
+function isActive(leader: FakeLeader): boolean {
+  const {process} = leader;
   const runs = process.isAlive() && !process.isPaused();
-  return runs && holder.isCleared() && holder.mayAct();
+  return runs && leader.isCleared() && leader.mayAct();
 }
 
-function findViolation(holders: readonly Holder[]): string | null {
-  const able = holders.filter(h => h.process.isAlive() && h.mayAct());
-  for (const newer of able) {
+function findViolation(leaders: readonly FakeLeader[]): string | null {
+  const eligible = leaders.filter(h => h.process.isAlive() && h.mayAct());
+  for (const newer of eligible) {
     if (!newer.isCleared()) continue;
-    const older = able.find(
+    const older = eligible.find(
       ({cell, epoch}) => cell === newer.cell && epoch < newer.epoch,
     );
     if (!older) continue;
-    const name = (h: Holder): string => `${h.host} (epoch ${h.epoch})`;
+    const name = (h: FakeLeader): string => `${h.host} (epoch ${h.epoch})`;
     return `${name(older)} and ${name(newer)} may both act`;
   }
   return null;
@@ -218,16 +223,16 @@
 
 const RETRY_MS = 50;
 
-/** Stands for the cell's leader: changes the table from time to time. */
+/** Creates a fake cell leader that changes its table once or periodically. */
 function createStartCell(
   process: FakeProcess,
-  holders: MutableHolder[],
-  violate: (what: string) => void,
+  leaders: MutableFakeLeader[],
+  addViolation: (what: string) => void,
   changeMs: number | undefined,
 ): StartCell {
   return ({cell, authority, inheritance, signal}) => {
     const {table: inherited, cleared} = inheritance;
-    const name = `${process.incarnation.host} #${holders.length}`;
+    const name = `${process.incarnation.host} #${leaders.length}`;
     let version = inherited?.version ?? 0;
     const table = (): ShardTable => {
       const {epoch} = authority;
@@ -235,7 +240,7 @@
       const entries = [{...owner, state: 'held'} as const];
       return {cell, epoch, version, entries, fences: new Map()};
     };
-    const holder: MutableHolder = {
+    const leader: MutableFakeLeader = {
       name,
       host: process.incarnation.host,
       cell,
@@ -244,30 +249,33 @@
       },
       process,
       inherited,
-      recorded: 0,
-      passedOn: Infinity,
+      recordedVersion: 0,
+      successorVersion: Infinity,
       mayAct: authority.mayAct,
       cleared: false,
-      isCleared: () => holder.cleared,
+      isCleared: () => leader.cleared,
     };
     const change = async (): Promise<boolean> => {
       const wanted = ++version;
       if (!(await authority.record(table()))) return false;
-      holder.recorded = wanted;
-      if (wanted > holder.passedOn) violate(`${name} lost a change`);
+      leader.recordedVersion = wanted;
+      if (wanted > leader.successorVersion)
+        addViolation(
+          `a change of ${name} was lost: recorded after its table was inherited`,
+        );
       return true;
     };
     const run = async (): Promise<void> => {
       await cleared;
-      holder.cleared = true;
+      leader.cleared = true;
       while (!signal.aborted) {
         const isRecorded = await change();
         if (isRecorded && changeMs === undefined) return;
         await sleep(process.clock, changeMs ?? RETRY_MS, signal);
       }
     };
-    if (inherited) passOn(holders, inherited, violate);
-    holders.push(holder);
+    if (inherited) checkInheritedTable(leaders, inherited, addViolation);
+    leaders.push(leader);
     void run();
     const locate = (): never => {
       throw new Error('not part of these tests');
@@ -279,17 +287,18 @@
   };
 }
 
-/** A table that is taken over must have every change that was recorded. */
-function passOn(
-  holders: readonly MutableHolder[],
+/** Checks that an inherited table has every recorded change. */
+function checkInheritedTable(
+  leaders: readonly MutableFakeLeader[],
   table: ShardTable,
-  violate: (what: string) => void,
+  addViolation: (what: string) => void,
 ): void {
   const [entry] = table.entries;
-  const before = holders.find(({name}) => name === entry?.server);
-  if (!before) return;
-  before.passedOn = table.version;
-  if (before.recorded > table.version) violate(`change of ${before.name} lost`);
+  const predecessor = leaders.find(({name}) => name === entry?.server);
+  if (!predecessor) return;
+  predecessor.successorVersion = table.version;
+  if (predecessor.recordedVersion > table.version)
+    addViolation(`a recorded change of ${predecessor.name} was lost`);
 }
 
 function toHost(name: string, index: number): Host {
@@ -305,7 +314,7 @@
   return {host, address: `${host}:1`, boot: String(boot), dataCentre: 'dc'};
 }
 
-function initialState(options: WorldOptions): ClusterState {
+function initialState(options: FakeClusterOptions): ClusterState {
   const {cells = 1, checksFences = false} = options;
   const holds = {name: 'holds', shards: 64, cells, checksFences};
   const inventory = {places: [], services: [holds], servers: []};
