--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -177,7 +177,7 @@
         service,
         inherited: ownTerm.inherited.get(service) ?? null,
         earlierLeadersActUntil: priorAuthorityEnd(),
-        areUnrecordedKeysFree: areUnrecordedKeysFree,
+        areUnrecordedKeysFree,
         suspendAwareNow: cfg.suspendAwareNow,
         tableStore: tableStoreForTerm(ownTerm),
         leaseClient: platform.orders,
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -136,7 +136,7 @@
   const leadership = createLeadership({
     platform,
     clock,
-    suspendAwareNow: suspendAwareNow,
+    suspendAwareNow,
     emit,
     bootId: boot,
     address: settings.listen.peers,
@@ -151,7 +151,7 @@
   const routerGroup = joinRouterGroup({
     members: platform.members(self),
     clock,
-    suspendAwareNow: suspendAwareNow,
+    suspendAwareNow,
     emit,
     onJoined: () => void election.runIfNeeded(),
     onReplaced: () => leadership.checkTerm(),
@@ -181,7 +181,7 @@
     list: serverList,
     suspects,
     limits: serverLimits,
-    chosenAddress: chosenAddress,
+    chosenAddress,
     isLeading: () => leadership.isLeading(),
     self: {address: settings.listen.peers, ...settings.host},
     onLeadershipOffered: () => void acceptLeadershipOffer(),
@@ -409,7 +409,7 @@
         ...{
           clock,
           emit,
-          frontend: frontend,
+          frontend,
           routers: routerGroup,
           leadership,
           goesOn,
--- a/packages/ownership/test/planned.test.ts
+++ b/packages/ownership/test/planned.test.ts
@@ -79,7 +79,7 @@
 // A router starts while the log is down. It cannot read which routers lead, so
 // it asks the others and can then forward requests; it gets no role.
 void tap.test('a start during an outage of the log', async t => {
-  const {cluster: cluster, leader} = await createCellHarness(HOSTS);
+  const {cluster, leader} = await createCellHarness(HOSTS);
   cluster.faults.refuses = true;
   const other = HOSTS.find(host => host !== leader) ?? '';
   const {ownership} = cluster.start(other);
--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -25,8 +25,7 @@
   // until a leader that was only disconnected could no longer act (1030 ms).
   {
     name: 'leader lost',
-    fault: ({cluster: cluster, leader}) =>
-      cluster.router(leader).process.kill(),
+    fault: ({cluster, leader}) => cluster.router(leader).process.kill(),
     watchMs: 8000,
     gap: [2000, 2500],
     by: 'standby',
@@ -35,15 +34,14 @@
   // in memory and must not act on it at all.
   {
     name: 'leader paused for 10 s',
-    fault: ({cluster: cluster, leader}) =>
-      cluster.router(leader).process.pause(),
+    fault: ({cluster, leader}) => cluster.router(leader).process.pause(),
     watchMs: 10_000,
     gap: [2000, 2500],
     by: 'standby',
   },
   {
     name: 'leader paused for 10 s and back',
-    fault: async ({cluster: cluster, leader}) => {
+    fault: async ({cluster, leader}) => {
       cluster.router(leader).process.pause();
       await cluster.clock.advance(10_000);
       cluster.router(leader).process.resume();
@@ -55,7 +53,7 @@
   // The pause is too short to be suspected: the leader continues.
   {
     name: 'leader paused for 600 ms',
-    fault: async ({cluster: cluster, leader}) => {
+    fault: async ({cluster, leader}) => {
       cluster.router(leader).process.pause();
       await cluster.clock.advance(600);
       cluster.router(leader).process.resume();
@@ -68,7 +66,7 @@
   // while paused. It was replaced by then and must not replace the leader.
   {
     name: 'standby paused for 5 s and back',
-    fault: async ({cluster: cluster, standby}) => {
+    fault: async ({cluster, standby}) => {
       cluster.router(standby).process.pause();
       await cluster.clock.advance(5000);
       cluster.router(standby).process.resume();
@@ -81,7 +79,7 @@
   // replaced. Its own pause must not count as silence of the leader.
   {
     name: 'standby paused while the log is down for the leader',
-    fault: async ({cluster: cluster, leader, standby}) => {
+    fault: async ({cluster, leader, standby}) => {
       cluster.network.cut(LOG, leader);
       cluster.router(standby).process.pause();
       await cluster.clock.advance(900);
@@ -94,7 +92,7 @@
   // The leader cannot read the log, its standby can. Consent keeps it acting.
   {
     name: 'leader split from the log',
-    fault: ({cluster: cluster, leader}) => {
+    fault: ({cluster, leader}) => {
       cluster.network.cut(leader, LOG);
       cluster.network.cut(LOG, leader);
     },
@@ -106,7 +104,7 @@
   // times out before the standby does and takes another standby.
   {
     name: 'leader and standby split from each other',
-    fault: ({cluster: cluster, leader, standby}) => {
+    fault: ({cluster, leader, standby}) => {
       cluster.network.cut(leader, standby);
       cluster.network.cut(standby, leader);
     },
@@ -116,8 +114,7 @@
   },
   {
     name: 'messages from leader to standby lost',
-    fault: ({cluster: cluster, leader, standby}) =>
-      cluster.network.cut(leader, standby),
+    fault: ({cluster, leader, standby}) => cluster.network.cut(leader, standby),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -125,8 +122,7 @@
   // The standby receives the requests, the leader gets no responses.
   {
     name: 'messages from standby to leader lost',
-    fault: ({cluster: cluster, leader, standby}) =>
-      cluster.network.cut(standby, leader),
+    fault: ({cluster, leader, standby}) => cluster.network.cut(standby, leader),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -135,15 +131,14 @@
   // the standby acts only after that.
   {
     name: 'leader split from everything',
-    fault: ({cluster: cluster, leader}) => void isolate(cluster, [leader]),
+    fault: ({cluster, leader}) => void isolate(cluster, [leader]),
     watchMs: 8000,
     gap: [500, 2500],
     by: 'standby',
   },
   {
     name: 'standby lost',
-    fault: ({cluster: cluster, standby}) =>
-      cluster.router(standby).process.kill(),
+    fault: ({cluster, standby}) => cluster.router(standby).process.kill(),
     watchMs: 8000,
     gap: NONE,
     by: 'leader',
@@ -151,7 +146,7 @@
   // No claim is possible and none is needed: consent keeps the leader acting.
   {
     name: 'log down for 20 s',
-    fault: ({cluster: cluster}) => void (cluster.faults.refuses = true),
+    fault: ({cluster}) => void (cluster.faults.refuses = true),
     watchMs: 20_000,
     gap: NONE,
     by: 'leader',
@@ -161,7 +156,7 @@
   // take over, and the leader could not continue after the connection returns.
   {
     name: 'log down, leader and standby split for 2 s',
-    fault: async ({cluster: cluster, leader, standby}) => {
+    fault: async ({cluster, leader, standby}) => {
       cluster.faults.refuses = true;
       await cluster.clock.advance(3000);
       cluster.network.cut(leader, standby);
@@ -177,14 +172,14 @@
   // when the leader is lost, although its readings are old on arrival.
   {
     name: 'log slow for 20 s',
-    fault: ({cluster: cluster}) => slowDownLog(cluster),
+    fault: ({cluster}) => slowDownLog(cluster),
     watchMs: 20_000,
     gap: NONE,
     by: 'leader',
   },
   {
     name: 'log slow and leader lost',
-    fault: async ({cluster: cluster, leader}) => {
+    fault: async ({cluster, leader}) => {
       slowDownLog(cluster);
       await cluster.clock.advance(5000);
       cluster.router(leader).process.kill();
@@ -195,7 +190,7 @@
   },
   {
     name: 'log slow and standby lost',
-    fault: async ({cluster: cluster, standby}) => {
+    fault: async ({cluster, standby}) => {
       slowDownLog(cluster);
       await cluster.clock.advance(5000);
       cluster.router(standby).process.kill();
@@ -207,7 +202,7 @@
   // No new leader can be agreed on without the log.
   {
     name: 'log down and leader lost',
-    fault: async ({cluster: cluster, leader}) => {
+    fault: async ({cluster, leader}) => {
       cluster.faults.refuses = true;
       cluster.router(leader).process.kill();
       await cluster.clock.advance(2000);
@@ -218,7 +213,7 @@
   },
   {
     name: 'log down and leader lost, log back',
-    fault: async ({cluster: cluster, leader}) => {
+    fault: async ({cluster, leader}) => {
       cluster.faults.refuses = true;
       cluster.router(leader).process.kill();
       await cluster.clock.advance(10_000);
@@ -232,7 +227,7 @@
   // its claim for 5 s. The withdrawal stands and the claim is retried.
   {
     name: 'log down right after the standby withdrew',
-    fault: async ({cluster: cluster, leader, standby}) => {
+    fault: async ({cluster, leader, standby}) => {
       cluster.router(leader).process.kill();
       await cluster.waitUntil(() => cluster.withdrawals(standby) > 0, 2000);
       cluster.faults.refuses = true;
@@ -246,7 +241,7 @@
   // The claim is in the log but the claimant does not know. It reads it later.
   {
     name: "reply to the standby's claim lost",
-    fault: ({cluster: cluster, leader}) => {
+    fault: ({cluster, leader}) => {
       cluster.faults.losesReplies = true;
       cluster.router(leader).process.kill();
     },
@@ -258,7 +253,7 @@
   // same standby has won.
   {
     name: "standby's claim delivered late",
-    fault: ({cluster: cluster, leader}) => {
+    fault: ({cluster, leader}) => {
       let claims = 0;
       cluster.faults.appendDelay = () => (claims++ === 0 ? 5000 : 0);
       cluster.router(leader).process.kill();
@@ -271,7 +266,7 @@
   // proof, they all wait.
   {
     name: 'leader and standby lost',
-    fault: ({cluster: cluster, leader, standby}) => {
+    fault: ({cluster, leader, standby}) => {
       cluster.router(leader).process.kill();
       cluster.router(standby).process.kill();
     },
@@ -283,7 +278,7 @@
   // old one has terminated.
   {
     name: 'leader and standby lost, standby restarted',
-    fault: async ({cluster: cluster, leader, standby}) => {
+    fault: async ({cluster, leader, standby}) => {
       cluster.router(leader).process.kill();
       cluster.router(standby).process.kill();
       await cluster.clock.advance(5000);
@@ -295,7 +290,7 @@
   },
   {
     name: 'leader and standby lost, leader attested lost',
-    fault: async ({cluster: cluster, leader, standby}) => {
+    fault: async ({cluster, leader, standby}) => {
       const {incarnation} = cluster.router(leader).process;
       cluster.router(leader).process.kill();
       cluster.router(standby).process.kill();
@@ -310,15 +305,14 @@
   // standby does not have to wait.
   {
     name: 'leader stopped as planned',
-    fault: ({cluster: cluster, leader}) =>
-      void cluster.router(leader).ownership.stop(),
+    fault: ({cluster, leader}) => void cluster.router(leader).ownership.stop(),
     watchMs: 8000,
     gap: [0, 250],
     by: 'standby',
   },
   {
     name: 'standby stopped as planned',
-    fault: ({cluster: cluster, standby}) =>
+    fault: ({cluster, standby}) =>
       void cluster.router(standby).ownership.stop(),
     watchMs: 8000,
     gap: NONE,
@@ -326,7 +320,7 @@
   },
   {
     name: 'leader drained by an operator',
-    fault: ({cluster: cluster, leader}) => cluster.drain(leader),
+    fault: ({cluster, leader}) => cluster.drain(leader),
     watchMs: 8000,
     gap: [0, 250],
     by: 'standby',
@@ -335,7 +329,7 @@
   // resume its authority, since the standby claims at once.
   {
     name: 'answer to the resignation lost',
-    fault: ({cluster: cluster, leader, standby}) => {
+    fault: ({cluster, leader, standby}) => {
       void cluster.router(leader).ownership.stop();
       cluster.network.cut(standby, leader);
     },
@@ -348,7 +342,7 @@
 for (const {name, fault, watchMs, gap, by} of cases) {
   void tap.test(name, async t => {
     const harness = await createCellHarness(HOSTS);
-    const {cluster: cluster} = harness;
+    const {cluster} = harness;
     await fault(harness);
     const longest = await cluster.longestGap(watchMs);
     t.strictSame(
