--- a/packages/dispatch/src/completed-attempt.ts
+++ b/packages/dispatch/src/completed-attempt.ts
@@ -1,5 +1,5 @@
 import type {Answer, AttemptResult} from './attempt.js';
-import {isOtherServer} from './server-run.js';
+import {isOtherServer} from './server-instance.js';
 import type {WireNames} from './wire.js';
 
 /** A request or a lease call that was sent to a server, and its result. */
--- a/packages/dispatch/src/forward.ts
+++ b/packages/dispatch/src/forward.ts
@@ -13,7 +13,7 @@
 } from './forward-state.js';
 import {noteLimit} from './server-limits.js';
 import {noteRetryAfter} from './server-rests.js';
-import {serverName} from './server-run.js';
+import {serverName} from './server-instance.js';
 import {slotOutcomeOf, handleResult} from './handle-result.js';
 import type {WireNames} from './wire.js';
 
--- a/packages/dispatch/src/handle-result.ts
+++ b/packages/dispatch/src/handle-result.ts
@@ -8,7 +8,7 @@
   type Reply,
 } from './forward-state.js';
 import type {SlotOutcome} from './slots.js';
-import {isOtherServer} from './server-run.js';
+import {isOtherServer} from './server-instance.js';
 import {readLoad, type WireNames} from './wire.js';
 
 /**
--- a/packages/dispatch/src/probe-server.ts
+++ b/packages/dispatch/src/probe-server.ts
@@ -1,6 +1,6 @@
 import {connect} from 'node:net';
 import type {Backend} from './backend.js';
-import type {ProbeResult} from './server-ends.js';
+import type {ProbeResult} from './crash-detector.js';
 
 /** Probe timeout, in ms. Hosts in the same region answer within a few ms. */
 const PROBE_TIMEOUT_MS = 400;
--- a/packages/dispatch/src/quarantine.ts
+++ b/packages/dispatch/src/quarantine.ts
@@ -2,7 +2,7 @@
 import type {Backend} from './backend.js';
 import type {ForwardRequest} from './forward-state.js';
 import type {SlotOutcome} from './slots.js';
-import type {CrashDetector} from './server-ends.js';
+import type {CrashDetector} from './crash-detector.js';
 import type {Standing, StruckRequest} from './suspect.js';
 import type {Suspects} from './suspects.js';
 
--- a/packages/dispatch/src/place-queue.ts
+++ b/packages/dispatch/src/queue-policy.ts
@@ -10,8 +10,8 @@
   type WaitQueue,
   type PriorityLevel,
   type Waiter,
-} from './lane.js';
-import type {SlackTracker} from './patience.js';
+} from './wait-queue.js';
+import type {SlackTracker} from './slack-tracker.js';
 import type {ServerLimits} from './server-limits.js';
 
 /**
--- a/packages/dispatch/src/place-issuer.ts
+++ b/packages/dispatch/src/slot-allocator.ts
@@ -10,15 +10,15 @@
   waitersIn,
   type WaitQueue,
   type Waiter,
-} from './lane.js';
-import {createSlackTracker} from './patience.js';
-import {createWaitQueues} from './place-lanes.js';
+} from './wait-queue.js';
+import {createSlackTracker} from './slack-tracker.js';
+import {createWaitQueues} from './wait-queues.js';
 import {
   exceedsMaxWait,
   limitedWaitMs,
   findOverdue,
   nextWaiter,
-} from './place-queue.js';
+} from './queue-policy.js';
 import type {SlotRequest, SlotOutcome, SlotReply} from './slots.js';
 
 /** Allocates the slots of all servers to the requests of all routers. */
--- a/packages/dispatch/src/suspects.ts
+++ b/packages/dispatch/src/suspects.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import {DIGEST_SCOPES, type ContentDigests} from './content-digests.js';
 import type {Emit} from './events.js';
-import {findToQuarantine, standingsOf} from './judge-suspects.js';
+import {findToQuarantine, standingsOf} from './quarantine-rules.js';
 import {
   mergeSuspects,
   strikeRows,
--- a/packages/dispatch/src/place-lanes.ts
+++ b/packages/dispatch/src/wait-queues.ts
@@ -1,5 +1,5 @@
 import {ownerServerOf, type SlotAllocatorConfig} from './free-server.js';
-import {enqueue, NO_OWNER, waitersIn, type WaitQueue} from './lane.js';
+import {enqueue, NO_OWNER, waitersIn, type WaitQueue} from './wait-queue.js';
 import type {SlotRequest} from './slots.js';
 
 /** Wait queues of all services, by the servers that can serve them. */
--- a/packages/dispatch/test/server-ends.test.ts
+++ b/packages/dispatch/test/crash-detector.test.ts
@@ -5,7 +5,7 @@
 import {
   createCrashDetector,
   type ProbeResult,
-} from '@banyandrum/dispatch/server-ends.js';
+} from '@banyandrum/dispatch/crash-detector.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
 function backend(part: object = {}): Backend {
--- a/packages/dispatch/test/forward.test.ts
+++ b/packages/dispatch/test/forward.test.ts
@@ -8,7 +8,7 @@
 import type {Owners} from '@banyandrum/dispatch/owners.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
 import {createRetryBudget} from '@banyandrum/dispatch/retry-budget.js';
-import {createCrashDetector} from '@banyandrum/dispatch/server-ends.js';
+import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
 import {createServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {createServerRests} from '@banyandrum/dispatch/server-rests.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
--- a/packages/dispatch/test/quarantine.test.ts
+++ b/packages/dispatch/test/quarantine.test.ts
@@ -4,7 +4,7 @@
 import type {ForwardRequest} from '@banyandrum/dispatch/forward-state.js';
 import type {SlotOutcome} from '@banyandrum/dispatch/slots.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
-import {createCrashDetector} from '@banyandrum/dispatch/server-ends.js';
+import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
 import type {Standing} from '@banyandrum/dispatch/suspect.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
--- a/packages/gateway/src/assignable-servers.ts
+++ b/packages/gateway/src/assignable-servers.ts
@@ -2,7 +2,7 @@
 import type {Backends} from '@banyandrum/dispatch/backends.js';
 import type {ServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import {meanMs} from '@banyandrum/dispatch/server-cost.js';
-import type {ListedServer} from '@banyandrum/ranges/lead-state.js';
+import type {ListedServer} from '@banyandrum/ranges/leader-state.js';
 import type {ServiceTimes} from './service-times.js';
 
 /** What `listAssignableServers` reads. */
--- a/packages/gateway/src/frontend.ts
+++ b/packages/gateway/src/frontend.ts
@@ -19,7 +19,7 @@
 import type {Route, RoutingConfig} from '@banyandrum/routing/config.js';
 import {matchRoute} from '@banyandrum/routing/match-route.js';
 import type {Splitter} from '@banyandrum/routing/split.js';
-import {createRetryAges, type RetryAges} from './caller-ages.js';
+import {createRetryAges, type RetryAges} from './retry-ages.js';
 import {
   callerTimeoutMs,
   forwardedHeaders,
@@ -30,7 +30,10 @@
   type StrippedHeaders,
 } from './caller-headers.js';
 import {readBody} from './read-body.js';
-import {createRequestPipelines, type RequestPipelines} from './turns.js';
+import {
+  createRequestPipelines,
+  type RequestPipelines,
+} from './request-pipelines.js';
 import {
   sendResponse,
   statusOfFailure,
--- a/packages/gateway/src/succession.ts
+++ b/packages/gateway/src/leader-election.ts
@@ -1,5 +1,5 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
+import type {LeaderRead} from '@banyandrum/ranges/table-store.js';
 import {
   hasClearlyMoreCapacity,
   type Candidate,
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -13,12 +13,15 @@
 import {
   createServiceLeader,
   type ServiceLeader,
-} from '@banyandrum/ranges/lead-service.js';
-import type {TableStore} from '@banyandrum/ranges/ledger.js';
-import type {ListedServer} from '@banyandrum/ranges/lead-state.js';
+} from '@banyandrum/ranges/service-leader.js';
+import type {TableStore} from '@banyandrum/ranges/table-store.js';
+import type {ListedServer} from '@banyandrum/ranges/leader-state.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
-import {AUTHORITY_MS, type LeaseTiming} from '@banyandrum/ranges/timing.js';
-import {createChangeCoalescer} from './gathered.js';
+import {
+  AUTHORITY_MS,
+  type LeaseTiming,
+} from '@banyandrum/ranges/lease-timing.js';
+import {createChangeCoalescer} from './change-coalescer.js';
 import type {KeyCounts, ServedTables} from './key-owners.js';
 import type {Platform} from './platform.js';
 
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -1,5 +1,5 @@
 import type {Emit} from '@banyandrum/dispatch/events.js';
-import type {SlotAllocator} from '@banyandrum/dispatch/place-issuer.js';
+import type {SlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
 import type {SlotOutcome} from '@banyandrum/dispatch/slots.js';
 import type {ServerLimits} from '@banyandrum/dispatch/server-limits.js';
 import type {Suspects} from '@banyandrum/dispatch/suspects.js';
@@ -9,7 +9,7 @@
   type sendUnaryData,
   type ServerDuplexStream,
 } from '@grpc/grpc-js';
-import {createChangeCoalescer} from './gathered.js';
+import {createChangeCoalescer} from './change-coalescer.js';
 import {
   HEARTBEAT_MS,
   LINK_SERVICE,
@@ -24,7 +24,7 @@
   createStateBroadcaster,
   type Subscriber,
   type BroadcasterConfig,
-} from './link-telling.js';
+} from './link-broadcaster.js';
 import {pickLargestHost, type Candidate} from './host-capacity.js';
 
 /** What serving followers needs. */
--- a/packages/gateway/src/local-slot-provider.ts
+++ b/packages/gateway/src/local-slot-provider.ts
@@ -1,4 +1,4 @@
-import type {SlotAllocator} from '@banyandrum/dispatch/place-issuer.js';
+import type {SlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
 import type {SlotResult, SlotProvider} from '@banyandrum/dispatch/slots.js';
 import type {KeyOwners} from './key-owners.js';
 import type {Leadership} from './leadership.js';
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -2,8 +2,8 @@
 import type {CompletedAttempt} from '@banyandrum/dispatch/completed-attempt.js';
 import type {Suspect} from '@banyandrum/dispatch/suspect.js';
 import type {WireNames} from '@banyandrum/dispatch/wire.js';
-import type {TableStore, SaveResult} from '@banyandrum/ranges/ledger.js';
-import type {LeaseClient} from '@banyandrum/ranges/orders.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/table-store.js';
+import type {LeaseClient} from '@banyandrum/ranges/lease-client.js';
 import type {RoutingConfig} from '@banyandrum/routing/config.js';
 
 /** Result of reading the configuration. */
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -3,11 +3,11 @@
 import {createId} from '@banyandrum/base/ids.js';
 import {reportsLeaving} from '@banyandrum/dispatch/completed-attempt.js';
 import {createBackends} from '@banyandrum/dispatch/backends.js';
-import {createSlotAllocator} from '@banyandrum/dispatch/place-issuer.js';
+import {createSlotAllocator} from '@banyandrum/dispatch/slot-allocator.js';
 import {probeServer} from '@banyandrum/dispatch/probe-server.js';
 import {createQuarantine} from '@banyandrum/dispatch/quarantine.js';
 import {createRetryBudget} from '@banyandrum/dispatch/retry-budget.js';
-import {createCrashDetector} from '@banyandrum/dispatch/server-ends.js';
+import {createCrashDetector} from '@banyandrum/dispatch/crash-detector.js';
 import {
   createServerLimits,
   noteLimit,
@@ -17,7 +17,7 @@
   noteRetryAfter,
 } from '@banyandrum/dispatch/server-rests.js';
 import {createSuspects} from '@banyandrum/dispatch/suspects.js';
-import {createLeaseTiming} from '@banyandrum/ranges/timing.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {createSplitter} from '@banyandrum/routing/split.js';
 import {createConfigKeeper} from './config-keeper.js';
 import {createFrontend} from './frontend.js';
@@ -42,9 +42,9 @@
 import type {Settings} from './settings.js';
 import {shareSuspects} from './share-suspects.js';
 import {stopRouter} from './stop-router.js';
-import {createLeaderElection} from './succession.js';
+import {createLeaderElection} from './leader-election.js';
 import {reportVitals} from './vitals.js';
-import {createSuspendAwareTime} from './wakeful-clock.js';
+import {createSuspendAwareTime} from './suspend-aware-clock.js';
 
 /** A running router process. */
 export interface RouterProcess {
--- a/packages/gateway/src/server-list.ts
+++ b/packages/gateway/src/server-list.ts
@@ -3,7 +3,7 @@
 import {
   instanceStartedAt,
   serverName,
-} from '@banyandrum/dispatch/server-run.js';
+} from '@banyandrum/dispatch/server-instance.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {ServerListChange, ServerListRead} from './platform.js';
 
--- a/packages/gateway/src/stop-router.ts
+++ b/packages/gateway/src/stop-router.ts
@@ -1,7 +1,7 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
 import type {Emit} from '@banyandrum/dispatch/events.js';
 import type {Frontend} from './frontend.js';
-import {handOverLeadership} from './hand-over.js';
+import {handOverLeadership} from './leadership-handover.js';
 import type {Leadership} from './leadership.js';
 import type {RouterGroup} from './membership.js';
 
--- a/packages/gateway/test/succession.test.ts
+++ b/packages/gateway/test/leader-election.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
-import {createLeaderElection} from '@banyandrum/gateway/succession.js';
+import {createLeaderElection} from '@banyandrum/gateway/leader-election.js';
 import type {Candidate} from '@banyandrum/gateway/host-capacity.js';
-import type {LeaderRead} from '@banyandrum/ranges/ledger.js';
+import type {LeaderRead} from '@banyandrum/ranges/table-store.js';
 
 const SELF = '10.0.0.1:7200';
 const OTHER = '10.0.0.2:7200';
--- a/packages/gateway/test/restored-leaders.test.ts
+++ b/packages/gateway/test/leadership-restore.test.ts
@@ -4,7 +4,7 @@
   type Leadership,
 } from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import {createLeaseTiming} from '@banyandrum/ranges/timing.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {
   createManualClock,
   type ManualClock,
--- a/packages/gateway/test/many-changes.test.ts
+++ b/packages/gateway/test/leadership-scale.test.ts
@@ -6,11 +6,11 @@
   type Leadership,
 } from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import type {ListedServer} from '@banyandrum/ranges/lead-state.js';
-import type {TableStore} from '@banyandrum/ranges/ledger.js';
-import type {LeaseClient} from '@banyandrum/ranges/orders.js';
+import type {ListedServer} from '@banyandrum/ranges/leader-state.js';
+import type {TableStore} from '@banyandrum/ranges/table-store.js';
+import type {LeaseClient} from '@banyandrum/ranges/lease-client.js';
 import {splitEvenly, type RangeAssignment} from '@banyandrum/ranges/table.js';
-import {createLeaseTiming} from '@banyandrum/ranges/timing.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {
   createManualClock,
   type ManualClock,
--- a/packages/gateway/test/leadership.test.ts
+++ b/packages/gateway/test/leadership.test.ts
@@ -1,10 +1,10 @@
 import tap from 'tap';
 import {createLeadership} from '@banyandrum/gateway/leadership.js';
 import type {Platform} from '@banyandrum/gateway/platform.js';
-import {createSuspendAwareTime} from '@banyandrum/gateway/wakeful-clock.js';
-import type {TableStore} from '@banyandrum/ranges/ledger.js';
-import type {LeaseClient} from '@banyandrum/ranges/orders.js';
-import {createLeaseTiming} from '@banyandrum/ranges/timing.js';
+import {createSuspendAwareTime} from '@banyandrum/gateway/suspend-aware-clock.js';
+import type {TableStore} from '@banyandrum/ranges/table-store.js';
+import type {LeaseClient} from '@banyandrum/ranges/lease-client.js';
+import {createLeaseTiming} from '@banyandrum/ranges/lease-timing.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 import {createFakeHistory} from './fake-history.js';
 
--- a/packages/gateway/test/link-message-size.test.ts
+++ b/packages/gateway/test/link-message-size.test.ts
@@ -11,7 +11,7 @@
 import {
   createSubscriber,
   createStateBroadcaster,
-} from '@banyandrum/gateway/link-telling.js';
+} from '@banyandrum/gateway/link-broadcaster.js';
 import type {WireConfig} from '@banyandrum/gateway/link-config.js';
 import type {Candidate} from '@banyandrum/gateway/host-capacity.js';
 import {createServerList} from '@banyandrum/gateway/server-list.js';
--- a/packages/gateway/test/restorable-store.ts
+++ b/packages/gateway/test/restorable-store.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {StoreHistory} from '@banyandrum/gateway/platform.js';
 import {storeEpochOfTerm, toTermEpoch} from '@banyandrum/ranges/fence.js';
-import type {TableStore, SaveResult} from '@banyandrum/ranges/ledger.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/table-store.js';
 import type {RangeTable} from '@banyandrum/ranges/table.js';
 
 /** The records of terms and tables in the store. */
--- a/packages/gateway/test/caller-ages.test.ts
+++ b/packages/gateway/test/retry-ages.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {createRetryAges} from '@banyandrum/gateway/caller-ages.js';
+import {createRetryAges} from '@banyandrum/gateway/retry-ages.js';
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
 
 // Callers that are refused in a burst retry with the rest of their timeout. A
--- a/packages/gateway/test/thin-link.test.ts
+++ b/packages/gateway/test/slow-link.test.ts
@@ -10,7 +10,7 @@
   createSubscriber,
   createStateBroadcaster,
   type Subscriber,
-} from '@banyandrum/gateway/link-telling.js';
+} from '@banyandrum/gateway/link-broadcaster.js';
 import {createServerList} from '@banyandrum/gateway/server-list.js';
 import type {ServedRange} from '@banyandrum/ranges/table.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
--- a/packages/gateway/test/suspects-broadcast.test.ts
+++ b/packages/gateway/test/suspects-broadcast.test.ts
@@ -13,7 +13,7 @@
 import {
   createSubscriber,
   createStateBroadcaster,
-} from '@banyandrum/gateway/link-telling.js';
+} from '@banyandrum/gateway/link-broadcaster.js';
 import {createServerList} from '@banyandrum/gateway/server-list.js';
 import {createManualClock} from '@banyandrum/standins/manual-clock.js';
 
--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -14,7 +14,7 @@
 import {type HostWatch, parseCell} from './lease-servers.js';
 import type {LeaseHealth} from './lease-task.js';
 import {createLeaseTiming} from './lease-timing.js';
-import {createLoadMonitor} from './load-watch.js';
+import {createLoadMonitor} from './load-monitor.js';
 import {readinessOf} from './plan-input.js';
 import {createPlacer} from './placer.js';
 import {createRecovery} from './recovery.js';
--- a/packages/ownership/src/consent.ts
+++ b/packages/ownership/src/consent.ts
@@ -4,7 +4,7 @@
 import type {OwnershipContext} from './context.js';
 import type {Leadership, Tenure} from './leadership.js';
 import type {Membership} from './membership.js';
-import type {UnreachableHandler} from './unreached.js';
+import type {UnreachableHandler} from './unreachable-handler.js';
 
 /** Dependencies of the consent loops of a leader. */
 export interface ConsentOptions {
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -16,7 +16,7 @@
 import {type HotKeySplit, mergeKey, splitKey} from './hot-split.js';
 import type {CellLoad} from './led-cell.js';
 import type {LeaseRegistry} from './lease-registry.js';
-import type {LoadMonitor} from './load-watch.js';
+import type {LoadMonitor} from './load-monitor.js';
 import {createPlanInput} from './plan-input.js';
 import type {TrackedShard} from './shard-table.js';
 
--- a/packages/ownership/src/plan-input.ts
+++ b/packages/ownership/src/plan-input.ts
@@ -6,7 +6,7 @@
 import type {PlacementWeights} from '@banyandrum/config/rules.js';
 import type {LeaseRegistry} from './lease-registry.js';
 import type {LeaseTask} from './lease-task.js';
-import type {LoadMonitor} from './load-watch.js';
+import type {LoadMonitor} from './load-monitor.js';
 import type {ShardMap, TrackedShard} from './shard-table.js';
 
 export interface PlanInputOptions {
--- a/packages/ownership/src/run-ownership.ts
+++ b/packages/ownership/src/run-ownership.ts
@@ -19,17 +19,17 @@
 import type {LedCell} from './led-cell.js';
 import type {HostListReader} from './membership.js';
 import {createMembership} from './membership.js';
-import {createWatchedLeaders, runBackupWatch} from './orphan-watch.js';
+import {createWatchedLeaders, runBackupWatch} from './backup-watch.js';
 import {createPauseDetector} from './pauses.js';
 import {createPeerTasks} from './peer-tasks.js';
 import {runRebalance} from './rebalance.js';
-import {createReachabilityMonitor} from './reach-watch.js';
+import {createReachabilityMonitor} from './reachability-monitor.js';
 import {createStandby} from './standby.js';
 import {createStandbyManager} from './standby-keeper.js';
 import {runStandbyWatch} from './standby-watch.js';
 import {runTakeover} from './takeover.js';
 import type {AuthorityTiming} from './timing.js';
-import {createUnreachableHandler} from './unreached.js';
+import {createUnreachableHandler} from './unreachable-handler.js';
 import {viewsWithStandby} from './views.js';
 
 export interface OwnershipOptions {
--- a/packages/ownership/test/chains.test.ts
+++ b/packages/ownership/test/chains.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {LOG} from './support/fake-log.js';
-import {createCellHarness, isolate, viewOf} from './support/scene.js';
+import {createCellHarness, isolate, viewOf} from './support/cell-harness.js';
 
 const HOSTS = ['a', 'b', 'c', 'd', 'e'];
 
--- a/packages/ownership/test/planned.test.ts
+++ b/packages/ownership/test/planned.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
-import {createCellHarness} from './support/scene.js';
-import type {FakeCluster} from './support/world.js';
-import {createFakeCluster} from './support/world.js';
+import {createCellHarness} from './support/cell-harness.js';
+import type {FakeCluster} from './support/fake-cluster.js';
+import {createFakeCluster} from './support/fake-cluster.js';
 
 const HOSTS = ['a', 'b', 'c', 'd'];
 const CELLS = Array.from({length: 12}, (_, i) => `holds/${i}`);
--- a/packages/ownership/test/random.test.ts
+++ b/packages/ownership/test/random.test.ts
@@ -1,8 +1,8 @@
 import tap from 'tap';
 import {LOG} from './support/fake-log.js';
-import {isolate, viewOf} from './support/scene.js';
-import type {FakeCluster} from './support/world.js';
-import {createFakeCluster} from './support/world.js';
+import {isolate, viewOf} from './support/cell-harness.js';
+import type {FakeCluster} from './support/fake-cluster.js';
+import {createFakeCluster} from './support/fake-cluster.js';
 
 const HOSTS = ['a', 'b', 'c', 'd'];
 const CELLS = ['holds/0', 'holds/1'];
--- a/packages/ownership/test/reach.test.ts
+++ b/packages/ownership/test/reachability.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {createCellHarness, viewOf} from './support/scene.js';
+import {createCellHarness, viewOf} from './support/cell-harness.js';
 
 const HOSTS = ['a', 'b', 'c', 'd'];
 
--- a/packages/ownership/test/support/scene.ts
+++ b/packages/ownership/test/support/cell-harness.ts
@@ -1,7 +1,7 @@
 import type {View} from '@banyandrum/config/state.js';
 import {LOG} from './fake-log.js';
-import type {FakeCluster, FakeClusterOptions} from './world.js';
-import {CELL, createFakeCluster} from './world.js';
+import type {FakeCluster, FakeClusterOptions} from './fake-cluster.js';
+import {CELL, createFakeCluster} from './fake-cluster.js';
 
 /** A cluster in steady state, with the hosts of a cell's leader and standby. */
 export interface CellHarness {
--- a/packages/ownership/test/takeover.test.ts
+++ b/packages/ownership/test/takeover.test.ts
@@ -1,8 +1,8 @@
 import tap from 'tap';
 import {LOG} from './support/fake-log.js';
-import type {CellHarness} from './support/scene.js';
-import {createCellHarness, isolate} from './support/scene.js';
-import type {FakeCluster} from './support/world.js';
+import type {CellHarness} from './support/cell-harness.js';
+import {createCellHarness, isolate} from './support/cell-harness.js';
+import type {FakeCluster} from './support/fake-cluster.js';
 
 interface Case {
   readonly name: string;
--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -1,5 +1,5 @@
-import type {MoveFilter} from './calm.js';
-import type {ServerLoad, ServerLoads} from './carriers.js';
+import type {MoveFilter} from './move-filter.js';
+import type {ServerLoad, ServerLoads} from './server-loads.js';
 import type {Move, PlacedShard, PlanInput, Weights} from './plan.js';
 
 /** Maximum moves per plan; the next plan takes their effect into account. */
--- a/packages/placement/src/calm.ts
+++ b/packages/placement/src/move-filter.ts
@@ -1,4 +1,4 @@
-import type {ServerLoad, ServerLoads} from './carriers.js';
+import type {ServerLoad, ServerLoads} from './server-loads.js';
 
 /** Whether a shard may move from one server to another for balance. */
 export type MoveFilter = (
--- a/packages/placement/src/place-orphans.ts
+++ b/packages/placement/src/place-unassigned.ts
@@ -1,5 +1,5 @@
 import {rendezvousWeight} from '@banyandrum/base/hash.js';
-import type {ServerLoad, ServerLoads} from './carriers.js';
+import type {ServerLoad, ServerLoads} from './server-loads.js';
 import type {Move, PlacedShard} from './plan.js';
 
 /**
--- a/packages/placement/src/plan-moves.ts
+++ b/packages/placement/src/plan-moves.ts
@@ -1,7 +1,7 @@
 import {balance} from './balance.js';
-import type {MoveFilter} from './calm.js';
-import {createServerLoads} from './carriers.js';
-import {placeUnassigned} from './place-orphans.js';
+import type {MoveFilter} from './move-filter.js';
+import {createServerLoads} from './server-loads.js';
+import {placeUnassigned} from './place-unassigned.js';
 import type {Move, PlanInput} from './plan.js';
 
 /**
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,9 +1,9 @@
-import {hasTooMany, isImbalanceSignificant, hasTooFew} from './calm.js';
+import {hasTooMany, isImbalanceSignificant, hasTooFew} from './move-filter.js';
 import {
   type ServerLoad,
   type ServerLoads,
   createServerLoads,
-} from './carriers.js';
+} from './server-loads.js';
 import type {Move, PlanInput} from './plan.js';
 import {planMoves} from './plan-moves.js';
 
--- a/packages/ranges/src/balancing.ts
+++ b/packages/ranges/src/balancing.ts
@@ -1,18 +1,18 @@
-import {grantLease} from './granting.js';
+import {grantLease} from './grant-lease.js';
 import {
   leasesOf,
   saveAssignments,
   type LeaderState,
   type ListedServer,
-} from './lead-state.js';
+} from './leader-state.js';
 import type {KeyRate} from './key-load.js';
 import {
   createMergedLease,
   createPartialLease,
   isSettled,
   type RangeLease,
-} from './live-holding.js';
-import {moveRange} from './moving.js';
+} from './range-lease.js';
+import {moveRange} from './move-range.js';
 import {planMoves} from './planner.js';
 import type {KeyRange} from './table.js';
 
--- a/packages/ranges/src/confirming.ts
+++ b/packages/ranges/src/confirm-lease.ts
@@ -2,9 +2,9 @@
   emitCallResult,
   saveAssignments,
   type LeaderState,
-} from './lead-state.js';
-import {createRangeLease, type RangeLease} from './live-holding.js';
-import type {LeaseCallResult} from './orders.js';
+} from './leader-state.js';
+import {createRangeLease, type RangeLease} from './range-lease.js';
+import type {LeaseCallResult} from './lease-client.js';
 
 /** Delay between two confirmation calls, in ms. */
 const RETRY_DELAY_MS = 150;
--- a/packages/ranges/src/granting.ts
+++ b/packages/ranges/src/grant-lease.ts
@@ -1,6 +1,10 @@
-import type {RangeLease} from './live-holding.js';
-import {emitCallResult, toEventFields, type LeaderState} from './lead-state.js';
-import type {LeaseCallResult} from './orders.js';
+import type {RangeLease} from './range-lease.js';
+import {
+  emitCallResult,
+  toEventFields,
+  type LeaderState,
+} from './leader-state.js';
+import type {LeaseCallResult} from './lease-client.js';
 
 /** Delay before the next attempt after a grant that had no effect, in ms. */
 const RETRY_DELAY_MS = 150;
--- a/packages/ranges/src/inheritance.ts
+++ b/packages/ranges/src/inheritance.ts
@@ -1,5 +1,5 @@
 import {storeEpochOfFence, storeEpochOfTerm} from './fence.js';
-import type {RangeLease, AssignmentSource} from './live-holding.js';
+import type {RangeLease, AssignmentSource} from './range-lease.js';
 import type {RangeAssignment, RangeTable} from './table.js';
 
 /** An assignment that a new leader takes over. */
--- a/packages/ranges/src/lead-state.ts
+++ b/packages/ranges/src/leader-state.ts
@@ -1,12 +1,12 @@
 import type {Clock} from '@banyandrum/base/clock.js';
 import type {InheritedAssignment} from './inheritance.js';
 import type {KeyLoad} from './key-load.js';
-import type {TableStore} from './ledger.js';
-import type {RangeLease} from './live-holding.js';
-import type {LeaseCallResult, LeaseClient} from './orders.js';
+import type {TableStore} from './table-store.js';
+import type {RangeLease} from './range-lease.js';
+import type {LeaseCallResult, LeaseClient} from './lease-client.js';
 import type {ServerCapacity} from './planner.js';
 import type {RangeAssignment} from './table.js';
-import type {LeaseTiming} from './timing.js';
+import type {LeaseTiming} from './lease-timing.js';
 
 /** A listed server of the service. */
 export interface ListedServer extends ServerCapacity {
--- a/packages/ranges/src/moving.ts
+++ b/packages/ranges/src/move-range.ts
@@ -1,5 +1,5 @@
 import {sleep} from '@banyandrum/base/clock.js';
-import {grantLease} from './granting.js';
+import {grantLease} from './grant-lease.js';
 import {
   emitCallResult,
   saveAssignments,
@@ -7,11 +7,11 @@
   type LeaderState,
   type ListedServer,
   type MoveReason,
-} from './lead-state.js';
-import {createRangeLease, type RangeLease} from './live-holding.js';
+} from './leader-state.js';
+import {createRangeLease, type RangeLease} from './range-lease.js';
 import {utilization} from './planner.js';
 import type {KeyRange} from './table.js';
-import {RELEASE_TIMEOUT_MS} from './timing.js';
+import {RELEASE_TIMEOUT_MS} from './lease-timing.js';
 
 /** Interval at which a wait checks its condition, in ms. */
 const POLL_INTERVAL_MS = 50;
--- a/packages/ranges/src/lead-service.ts
+++ b/packages/ranges/src/service-leader.ts
@@ -1,6 +1,6 @@
 import {startBalancingMoves, mergeNeighbours} from './balancing.js';
-import {confirmLease} from './confirming.js';
-import {grantLease} from './granting.js';
+import {confirmLease} from './confirm-lease.js';
+import {grantLease} from './grant-lease.js';
 import {inheritRemembered, type InheritedAssignment} from './inheritance.js';
 import {createKeyLoad, type KeyLoad} from './key-load.js';
 import {
@@ -8,16 +8,16 @@
   type LeaderState,
   type ServiceLeaderConfig,
   type ListedServer,
-} from './lead-state.js';
+} from './leader-state.js';
 import {
   createRangeLease,
   type RangeLease,
   type AssignmentSource,
-} from './live-holding.js';
-import {moveRange} from './moving.js';
+} from './range-lease.js';
+import {moveRange} from './move-range.js';
 import {createTableWriter} from './table-writer.js';
 import {splitEvenly, type RangeTable, type ServedRange} from './table.js';
-import {AUTHORITY_MS} from './timing.js';
+import {AUTHORITY_MS} from './lease-timing.js';
 
 /** The leader of one service: assigns its keys to servers. */
 export interface ServiceLeader {
--- a/packages/ranges/src/table-writer.ts
+++ b/packages/ranges/src/table-writer.ts
@@ -1,5 +1,5 @@
 import {sleep, type Clock} from '@banyandrum/base/clock.js';
-import type {TableStore, SaveResult} from './ledger.js';
+import type {TableStore, SaveResult} from './table-store.js';
 import type {RangeTable} from './table.js';
 
 /** Writes a service's table, one write at a time. */
--- a/packages/ranges/test/fake-cluster.ts
+++ b/packages/ranges/test/fake-cluster.ts
@@ -1,6 +1,9 @@
 import type {Clock} from '@banyandrum/base/clock.js';
-import type {TableStore, SaveResult} from '@banyandrum/ranges/ledger.js';
-import type {LeaseCallResult, LeaseClient} from '@banyandrum/ranges/orders.js';
+import type {TableStore, SaveResult} from '@banyandrum/ranges/table-store.js';
+import type {
+  LeaseCallResult,
+  LeaseClient,
+} from '@banyandrum/ranges/lease-client.js';
 import type {RangeAssignment, RangeTable} from '@banyandrum/ranges/table.js';
 
 /** A lease as a fake server tracks it. */
--- a/packages/ranges/test/harness.ts
+++ b/packages/ranges/test/harness.ts
@@ -2,8 +2,11 @@
 import {
   createServiceLeader,
   type ServiceLeader,
-} from '@banyandrum/ranges/lead-service.js';
-import {AUTHORITY_MS, createLeaseTiming} from '@banyandrum/ranges/timing.js';
+} from '@banyandrum/ranges/service-leader.js';
+import {
+  AUTHORITY_MS,
+  createLeaseTiming,
+} from '@banyandrum/ranges/lease-timing.js';
 import {
   createManualClock,
   type ManualClock,
--- a/packages/ranges/test/lead-service.test.ts
+++ b/packages/ranges/test/service-leader.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {AUTHORITY_MS} from '@banyandrum/ranges/timing.js';
+import {AUTHORITY_MS} from '@banyandrum/ranges/lease-timing.js';
 import {findRange, MAX_KEY} from '@banyandrum/ranges/table.js';
 import {createRandom} from '@banyandrum/standins/seeded-random.js';
 import {createHarness, countUnserved} from './harness.js';
