--- a/packages/dispatch/src/backends.ts
+++ b/packages/dispatch/src/backends.ts
@@ -36,7 +36,7 @@
     if (!isLeaving) return null;
     const since = leavingSinceById.get(id) ?? clock.now();
     leavingSinceById.set(id, since);
-    if (leavingSinceById.size > MAX_LEAVING_RUNS) {
+    if (leavingSinceById.size > MAX_LEAVING_ENTRIES) {
       leavingSinceById.delete([...leavingSinceById.keys()][0]!);
     }
     return since;
@@ -105,6 +105,6 @@
 /**
  * Bounds memory, as entries are kept for instances that may be listed again.
  */
-const MAX_LEAVING_RUNS = 2_000;
+const MAX_LEAVING_ENTRIES = 2_000;
 /** Connection limit until `setConnectionLimit` is called. */
 const DEFAULT_CONNECTIONS = 4;
--- a/packages/dispatch/src/crash-detector.ts
+++ b/packages/dispatch/src/crash-detector.ts
@@ -12,7 +12,7 @@
    * Reports that a request's connection to the server ended without an answer.
    * Calls `onCrash` if evidence of a crash is found within
    * `REPLACEMENT_WATCH_MS`. Resolves when the server was probed, at the latest
-   * after `MAX_PROOF_WAIT_MS`.
+   * after `MAX_PROBE_WAIT_MS`.
    */
   connectionLost(backend: Backend, onCrash: () => void): Promise<void>;
   /**
@@ -51,7 +51,7 @@
  * Maximum time for which a request waits for the probe, in ms. Reachable hosts
  * answer within a few ms, a partitioned one stays silent for much longer.
  */
-const MAX_PROOF_WAIT_MS = 50;
+const MAX_PROBE_WAIT_MS = 50;
 /** A detected crash applies to further lost requests for this time, in ms. */
 const CRASH_TTL_MS = 500;
 
@@ -117,7 +117,7 @@
       const probe = probeOnce(backend).then(result => {
         if (result === 'refused') noteCrash(id);
       });
-      await Promise.race([probe, sleep(clock, MAX_PROOF_WAIT_MS)]);
+      await Promise.race([probe, sleep(clock, MAX_PROBE_WAIT_MS)]);
     },
     requestCancelled(backend, onCrash) {
       if (!backend.info.isLeaving)
--- a/packages/dispatch/src/events.ts
+++ b/packages/dispatch/src/events.ts
@@ -4,7 +4,7 @@
 >;
 
 /**
- * Logs an event: a decision about a request, or a change in what the router
- * believes about servers and requests. Must not block or throw.
+ * Logs an event: a decision about a request, or a change in the state of a
+ * server or request as known to this router. Must not block or throw.
  */
 export type Emit = (event: string, fields: EventFields) => void;
--- a/packages/dispatch/src/find-target.ts
+++ b/packages/dispatch/src/find-target.ts
@@ -179,8 +179,8 @@
  */
 function waitDeadline({cfg, req}: ForwardState): number {
   const now = cfg.clock.now();
-  const valuableUntil = now + req.route.targetLatencyMs / 2;
-  return Math.min(valuableUntil, req.deadline - MIN_SEND_MS);
+  const maxWaitUntil = now + req.route.targetLatencyMs / 2;
+  return Math.min(maxWaitUntil, req.deadline - MIN_SEND_MS);
 }
 
 function pickTarget(state: ForwardState): Target | null {
--- a/packages/dispatch/src/forward.ts
+++ b/packages/dispatch/src/forward.ts
@@ -131,16 +131,11 @@
 
 /** Whether the request may be sent to a server again. */
 function mayRetry(state: ForwardState): boolean {
-  const {
-    cfg,
-    req,
-    possibleRuns: runs,
-    attemptCount: tries,
-    sentCount: sent,
-  } = state;
+  const {cfg, req, possibleRuns, attemptCount, sentCount} = state;
   if (req.signal.aborted) return false;
-  if (tries >= MAX_ATTEMPTS || runs >= req.route.maxAttempts) return false;
+  if (attemptCount >= MAX_ATTEMPTS || possibleRuns >= req.route.maxAttempts)
+    return false;
   if (cfg.clock.now() > req.deadline - MIN_SEND_MS) return false;
-  if (sent === 0) return true;
+  if (sentCount === 0) return true;
   return cfg.budget.tryWithdraw(req.service);
 }
--- a/packages/dispatch/src/server-instance.ts
+++ b/packages/dispatch/src/server-instance.ts
@@ -7,7 +7,7 @@
 const INSTANCE_ID = /^(?<name>.+)~(?<born>\d{1,15})$/s;
 
 /**
- * Returns the id of the instance of `name` that started at `bornMs`, in ms
+ * Returns the id of the instance of `name` that started at `startedAtMs`, in ms
  * since 1970.
  *
  * @example
@@ -15,8 +15,8 @@
  * const id = instanceId('i-7f3a91c2', 1_796_000_000_000);
  * ```
  */
-export function instanceId(name: string, bornMs: number): string {
-  return `${name}~${bornMs}`;
+export function instanceId(name: string, startedAtMs: number): string {
+  return `${name}~${startedAtMs}`;
 }
 
 /** Returns the server name that the instance sends in its answers. */
@@ -26,8 +26,8 @@
 
 /** Returns the start time in ms since 1970; null if the id is just a name. */
 export function instanceStartedAt(id: string): number | null {
-  const born = INSTANCE_ID.exec(id)?.groups?.['born'];
-  return born === undefined ? null : Number(born);
+  const startedAt = INSTANCE_ID.exec(id)?.groups?.['born'];
+  return startedAt === undefined ? null : Number(startedAt);
 }
 
 /**
--- a/packages/dispatch/src/server-rests.ts
+++ b/packages/dispatch/src/server-rests.ts
@@ -30,11 +30,11 @@
   names: WireNames,
   attempt: CompletedAttempt,
 ): void {
-  const {server, result: end} = attempt;
+  const {server, result} = attempt;
   const fields = answerFields(names, attempt);
   const text = fields?.get(names.retryAfter);
   if (text === undefined || !fields!.has(names.notRun)) return;
-  if (end.kind === 'answered' && !REFUSAL_STATUSES.has(end.answer.status))
+  if (result.kind === 'answered' && !REFUSAL_STATUSES.has(result.answer.status))
     return;
   rests.noteRefusal(server, text);
 }
--- a/packages/dispatch/src/slot-allocator.ts
+++ b/packages/dispatch/src/slot-allocator.ts
@@ -43,8 +43,8 @@
 
 /**
  * Minimum time to the deadline for allocating a slot, in mean service times. A
- * request that times out at the server wastes its slot. Under overload, this
- * kept goodput at half after the cause of the overload was gone.
+ * request that times out at the server wastes its slot. Such timeouts kept
+ * goodput at half after the cause of an overload had ended.
  */
 const MIN_SERVICE_TIMES_LEFT = 1.8;
 /** Minimum retry delay of refused callers, in ms. */
@@ -68,7 +68,7 @@
   const queues = createWaitQueues(cfg);
   const capacities = createCapacityCache(cfg);
   const slackTracker = createSlackTracker();
-  const admission = {...cfg, capacities, slackTracker};
+  const policyCfg = {...cfg, capacities, slackTracker};
   /** Digests of suspected requests that wait or have a slot. */
   const trials = new Set<string>();
   let cancelReevaluation: (() => void) | null = null;
@@ -96,7 +96,7 @@
     });
     settle(waiter, {
       kind: 'refused',
-      retryAfterMs: Math.max(RETRY_AFTER_MS, limitedWaitMs(admission, queue)),
+      retryAfterMs: Math.max(RETRY_AFTER_MS, limitedWaitMs(policyCfg, queue)),
       isUnheld: queue.owner === NO_OWNER,
     });
   };
@@ -145,8 +145,8 @@
       // If no server is free for this request, none is for the others either,
       // unless this one excludes servers or is a trial.
       const {excluded, trial} = waiter.req;
-      const isSpecial = queue.owner === null && excluded.length > 0;
-      if (!isSpecial && trial === undefined) return;
+      const hasExclusions = queue.owner === null && excluded.length > 0;
+      if (!hasExclusions && trial === undefined) return;
       skipped.add(waiter);
     }
   };
@@ -178,7 +178,7 @@
   };
 
   const enqueueOrRefuse = (queue: WaitQueue, waiter: Waiter): void => {
-    if (exceedsMaxWait(admission, queue, waiter))
+    if (exceedsMaxWait(policyCfg, queue, waiter))
       return refuse(waiter, 'too-many-wait');
     enqueue(queue, waiter);
     scheduleReevaluation();
