--- a/packages/ranges/src/balancing.ts
+++ b/packages/ranges/src/balancing.ts
@@ -16,7 +16,10 @@
 import {planMoves} from './planner.js';
 import type {KeyRange} from './table.js';
 
-/** A server with this many ranges gets none split: each costs renewals. */
+/**
+ * Ranges of a server with at least this many are not split, because each range
+ * costs renewals.
+ */
 const MAX_RANGES_PER_SERVER = 8;
 
 /**
--- a/packages/ranges/src/fence.ts
+++ b/packages/ranges/src/fence.ts
@@ -35,7 +35,8 @@
 }
 
 /**
- * Returns the numbered fence of a term; it exceeds all fences of earlier terms.
+ * Returns the fence with this sequence number in a term. It exceeds all fences
+ * of earlier terms.
  */
 export function toFence(termEpoch: number, sequence: number): number {
   return termEpoch * FENCES_PER_TERM + sequence;
--- a/packages/ranges/src/leader-state.ts
+++ b/packages/ranges/src/leader-state.ts
@@ -23,7 +23,8 @@
    */
   readonly earlierLeadersActUntil: number;
   /**
-   * Whether certainly no server holds a lease on keys without an assignment.
+   * Whether it is certain that no server holds a lease on keys without an
+   * assignment.
    */
   areUnrecordedKeysFree(): boolean;
   readonly tableStore: Pick<TableStore, 'save'>;
--- a/packages/ranges/src/planner.ts
+++ b/packages/ranges/src/planner.ts
@@ -6,7 +6,7 @@
   type KeyRange,
 } from './table.js';
 
-/** What placement needs to know about a server. */
+/** Properties of a server that determine which keys it is assigned. */
 export interface ServerCapacity {
   readonly id: string;
   /** Requests that the server processes concurrently. */
--- a/packages/ranges/src/range-lease.ts
+++ b/packages/ranges/src/range-lease.ts
@@ -1,6 +1,6 @@
 import type {RangeAssignment, KeyRange} from './table.js';
 
-/** How the leader knows which server a range is assigned to. */
+/** Origin of the leader's information on a range's assignment. */
 export type AssignmentSource =
   /** Stored in the current store epoch. */
   | 'recorded'
@@ -71,7 +71,10 @@
   };
 }
 
-/** Whether the server certainly holds the lease and the range isn't moving. */
+/**
+ * Whether the range is served, isn't moving, and has no grant with an unknown
+ * outcome.
+ */
 export function isSettled(lease: RangeLease, now: number): boolean {
   const {phase, source, isServed, lateGrantUntil} = lease;
   if (phase !== 'held' || source !== 'recorded') return false;
