--- a/packages/dispatch/src/quarantine-rules.ts
+++ b/packages/dispatch/src/quarantine-rules.ts
@@ -38,8 +38,10 @@
 ): readonly Suspect[] {
   const attributed = attributeQuarantined(rows);
   const quarantinable: Suspect[] = [];
-  const open = rows.filter(({isQuarantined}) => !isQuarantined).sort(byStrikes);
-  for (const row of open) {
+  const unquarantined = rows
+    .filter(({isQuarantined}) => !isQuarantined)
+    .sort(byStrikes);
+  for (const row of unquarantined) {
     const strikes = unattributedStrikes(row, attributed, aliveServers);
     if (!mustQuarantine(row.scope, strikes)) continue;
     quarantinable.push(row);
--- a/packages/placement/src/move-filter.ts
+++ b/packages/placement/src/move-filter.ts
@@ -8,8 +8,8 @@
 ) => boolean;
 
 /**
- * No shard leaves a server for its load below this utilization: its requests
- * hardly wait, and a move would interrupt them.
+ * Shards don't move off a server to balance load while its utilization is below
+ * this: its requests hardly wait, and a move would interrupt them.
  */
 const MIN_DONOR_UTILIZATION = 0.3;
 
@@ -35,7 +35,7 @@
  * Whether the loads of two servers differ significantly: the donor is busy, and
  * the difference is larger than random arrivals and service times explain. The
  * loads of a rarely used service are mostly noise, and following them moved its
- * shards back and forth without end.
+ * shards back and forth indefinitely.
  */
 export function isImbalanceSignificant(
   from: ServerLoad,
--- a/packages/placement/src/place-unassigned.ts
+++ b/packages/placement/src/place-unassigned.ts
@@ -4,7 +4,7 @@
 
 /**
  * Assigns a server to each shard that needs one: it has no owner, or its server
- * must not have shards any more. Shards with the highest load are placed first,
+ * may no longer own shards. Shards with the highest load are placed first,
  * each on the server that is least utilized with it. Updates the server loads.
  * Returns no moves if no server can take shards.
  *
--- a/packages/placement/src/plan-moves.ts
+++ b/packages/placement/src/plan-moves.ts
@@ -28,7 +28,7 @@
 
 /**
  * Plans only the forced moves: of shards without an owner, and of shards whose
- * server must not have shards any more.
+ * server may no longer own shards.
  *
  * @example
  * ```ts
@@ -39,7 +39,7 @@
   return placeUnassigned(input.shards, createServerLoads(input));
 }
 
-/** Sorts the input: ties are broken by order, which must be deterministic. */
+/** Sorts the input by name, so that ties are broken deterministically. */
 function sortInput(input: PlanInput): PlanInput {
   return {
     ...input,
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -13,13 +13,13 @@
 }
 
 /**
- * Time for which a server must be significantly busier before shards move off
- * it. It is three times the averaging time of loads, so that a stall of some
+ * Time for which a server must be significantly busier than another before
+ * shards move off it. It is three times the averaging time of loads, so that a stall of some
  * seconds has hardly any effect left.
  */
 export const SUSTAIN_MS = 30_000;
 
-/** Utilization from which the requests of a server wait for long. */
+/** Utilization from which requests to a server wait for a long time. */
 const HIGH_UTILIZATION = 0.6;
 
 /** Shards move off a highly utilized server after half of that time. */
@@ -99,8 +99,8 @@
 }
 
 function requiredSustainMs({busy, candidate}: ServerLoad): number {
-  const isFull = busy >= candidate.capacity * HIGH_UTILIZATION;
-  return isFull ? HIGH_UTILIZATION_SUSTAIN_MS : SUSTAIN_MS;
+  const isHighlyUtilized = busy >= candidate.capacity * HIGH_UTILIZATION;
+  return isHighlyUtilized ? HIGH_UTILIZATION_SUSTAIN_MS : SUSTAIN_MS;
 }
 
 /** Tracks since when each server has been in the list without interruption. */
