--- a/packages/dispatch/test/slot-allocator.test.ts
+++ b/packages/dispatch/test/slot-allocator.test.ts
@@ -336,12 +336,12 @@
     }),
   );
   request({key: 1});
-  const gone = request({key: 1});
+  const cancelled = request({key: 1});
   const next = request({key: 1});
   owner = 's2';
-  gone.release('cancelled', 0);
+  cancelled.release('cancelled', 0);
   allocator.reevaluate();
-  t.equal(gone.reply, null);
+  t.equal(cancelled.reply, null);
   t.match(next.reply, {kind: 'granted', server: 's2'});
   t.equal(backends.get('s2')!.allocatedSlots, 1);
 });
--- a/packages/placement/test/plan-moves.test.ts
+++ b/packages/placement/test/plan-moves.test.ts
@@ -8,7 +8,7 @@
 } from '@banyandrum/placement/plan.js';
 import {planMoves} from '@banyandrum/placement/plan-moves.js';
 
-/** The co-operative weights churn most, the Board unavailability. */
+/** Weights of two users: one avoids moves, the other unavailability. */
 const COOPERATIVE: Weights = {imbalance: 1, churn: 4, unavailable: 2};
 const BOARD: Weights = {imbalance: 1, churn: 1, unavailable: 4};
 const USERS = {COOPERATIVE, BOARD};
--- a/packages/placement/test/planner.test.ts
+++ b/packages/placement/test/planner.test.ts
@@ -98,7 +98,7 @@
 // Loads are noisy: a service is rarely used, or runs on a busy machine where
 // processes stall for a moment, or the leader is new and has measured for a
 // second only. A leader that treats noise as load moves shards back and forth
-// without end, and each move makes callers wait for no benefit.
+// indefinitely, and each move makes callers wait for no benefit.
 const SCENARIOS: readonly Scenario[] = [
   {
     name: 'idle',
--- a/packages/ranges/test/fake-cluster.ts
+++ b/packages/ranges/test/fake-cluster.ts
@@ -47,7 +47,7 @@
   holdersOf(key: number): readonly string[];
 }
 
-/** How much longer than requested a lease lasts on a server's slow clock. */
+/** Factor by which a server's slow clock prolongs a lease. */
 const MAX_CLOCK_SLOWDOWN = 1.02;
 const STEP_KEYS = 512;
 
