--- a/packages/gateway/src/assignable-servers.ts
+++ b/packages/gateway/src/assignable-servers.ts
@@ -27,8 +27,8 @@
   const known = listed.map(({info}) => times.estimateMs(info.id, 0));
   const typicalMs = meanMs(known, DEFAULT_SERVICE_MS);
   return listed
-    .filter(({info, isReplaced: isGone}) => !info.isLeaving && !isGone)
-    .map(({info, ejectedUntil: suspectUntil}) => ({
+    .filter(({info, isReplaced}) => !info.isLeaving && !isReplaced)
+    .map(({info, ejectedUntil}) => ({
       id: info.id,
       address: info.address,
       slots: info.slots,
@@ -36,7 +36,7 @@
         times.estimateMs(info.id, typicalMs),
         limitedServiceMs(info.slots, limits.limitOf(info.id)),
       ),
-      isOpen: suspectUntil <= clock.now() && !hasEnded(info.id),
+      isOpen: ejectedUntil <= clock.now() && !hasEnded(info.id),
     }));
 }
 
--- a/packages/gateway/src/leader-election.ts
+++ b/packages/gateway/src/leader-election.ts
@@ -47,8 +47,8 @@
 
 /**
  * A leader without an answer from the platform for this long counts as cut off
- * from it, in ms, since it can't record moves. Several consecutive joins fail
- * within this time.
+ * from it, in ms, since it can't record moves. Several consecutive membership
+ * renewals fail within this time.
  */
 const LOST_CONTACT_MS = 2_000;
 /**
--- a/packages/gateway/src/leadership-handover.ts
+++ b/packages/gateway/src/leadership-handover.ts
@@ -3,8 +3,8 @@
 
 /**
  * How long a leader that shuts down waits for its successor, and how often it
- * checks for one, in ms. Covers two joins of the chosen router and the start of
- * its term.
+ * checks for one, in ms. Covers two membership renewals of the chosen router
+ * and the start of its term.
  */
 const SUCCESSOR_WAIT_MS = 1_200;
 const SUCCESSOR_CHECK_MS = 200;
--- a/packages/gateway/src/link-client.ts
+++ b/packages/gateway/src/link-client.ts
@@ -105,7 +105,7 @@
 
 /**
  * A leader that reached the platform within this time counts as working, in ms:
- * covers two of its joins and the delay of a heartbeat.
+ * covers two renewals of its group membership and the delay of a heartbeat.
  */
 const WORKING_CONTACT_AGE_MS = 1_000;
 
--- a/packages/gateway/src/link-server.ts
+++ b/packages/gateway/src/link-server.ts
@@ -81,8 +81,9 @@
 }
 
 /**
- * Minimum interval between offers of leadership, in ms. Gives a router time for
- * two joins of its first exchange with a slow platform before another is asked.
+ * Minimum interval between offers of leadership, in ms. The router that was
+ * asked has this long to start its term before another is asked, which covers
+ * two joins on its first contact with a slow platform.
  */
 const OFFER_INTERVAL_MS = 3_000;
 
--- a/packages/gateway/src/membership.ts
+++ b/packages/gateway/src/membership.ts
@@ -37,7 +37,7 @@
   followsLeader(): boolean;
   /**
    * Whether the leader works and has other deputies. This router doesn't join
-   * then, since joins cost three calls per second and router.
+   * then, since renewals cost three calls per second and router.
    */
   maySkipJoin(): boolean;
   /** Called when another router was chosen in place of this one. */
--- a/packages/gateway/src/refresh-loops.ts
+++ b/packages/gateway/src/refresh-loops.ts
@@ -121,9 +121,9 @@
   const storeEpoch = platform.history.epoch();
   owners.replaceTables(
     new Map(
-      stored.map(({service, assignments: holdings}) => [
+      stored.map(({service, assignments}) => [
         service,
-        holdings.map(holding => toServedRange(holding, storeEpoch)),
+        assignments.map(assignment => toServedRange(assignment, storeEpoch)),
       ]),
     ),
   );
--- a/packages/gateway/src/repeat.ts
+++ b/packages/gateway/src/repeat.ts
@@ -17,7 +17,7 @@
  * ```
  */
 export function repeat(
-  {clock, emit, name, pauseMs: ms, goesOn}: RepeatConfig,
+  {clock, emit, name, pauseMs, goesOn}: RepeatConfig,
   task: () => Promise<void>,
 ): void {
   const run = async (): Promise<void> => {
@@ -30,7 +30,7 @@
         emit('internal-error', {loop: name, detail: stack ?? message});
         await sleep(clock, ERROR_PAUSE_MS);
       }
-      if (ms > 0) await sleep(clock, ms);
+      if (pauseMs > 0) await sleep(clock, pauseMs);
     }
   };
   void run();
--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -87,8 +87,8 @@
   clock: Clock = createClock(),
 ): Promise<RouterProcess> {
   const {emit} = log;
-  const boot = createId();
-  const self = `${settings.host.name}@${settings.listen.peers}#${boot}`;
+  const bootId = createId();
+  const self = `${settings.host.name}@${settings.listen.peers}#${bootId}`;
   let isStopping = false;
   let isClosed = false;
   const goesOn = (): boolean => !isClosed;
@@ -138,7 +138,7 @@
     clock,
     suspendAwareNow,
     emit,
-    bootId: boot,
+    bootId,
     address: settings.listen.peers,
     keyedServices,
     timing: createLeaseTiming(settings.servers.holdMaxMs),
--- a/packages/gateway/src/vitals.ts
+++ b/packages/gateway/src/vitals.ts
@@ -16,7 +16,7 @@
   callCounts(): Readonly<Record<string, number>>;
 }
 
-/** Interval between reports, in ms; 81 hosts write 40 lines a second. */
+/** Interval between reports, in ms; 81 hosts together log 40 lines a second. */
 const REPORT_MS = 2_000;
 /** Interval between samples of the event loop lag, in ms. */
 const SAMPLE_MS = 500;
