--- a/packages/ownership/src/authority-holder.ts
+++ b/packages/ownership/src/authority-holder.ts
@@ -91,7 +91,7 @@
     return isStored;
   };
 
-  const synchronise = async (): Promise<boolean> => {
+  const sendTableToStandby = async (): Promise<boolean> => {
     if (recordedTable === null) return false;
     if (standbyTableEpoch === view.epoch) return true;
     return storeAtStandby({...recordedTable, epoch: view.epoch});
@@ -127,7 +127,7 @@
       if (epoch === view.epoch) pendingClaims--;
     },
     hasPendingClaim: () => pendingClaims > 0,
-    sendTableToStandby: synchronise,
+    sendTableToStandby,
     hasRecordedTable: () => recordedTable !== null,
     revoke() {
       isRevoked = true;
--- a/packages/ownership/src/backup-watch.ts
+++ b/packages/ownership/src/backup-watch.ts
@@ -173,11 +173,16 @@
   view: View,
 ): Promise<StandbyState> {
   const {standby, cell, epoch} = view;
-  const {authorityMs, responseTimeoutMs: answerMs} = ctx.timing;
+  const {authorityMs, responseTimeoutMs} = ctx.timing;
   if (standby === null || isTerminated(ctx, standby)) return 'over';
   const ask = {cell, epoch};
   // Twice the usual timeout, as the standby probes its leader first.
-  const res = await ctx.peers.ask(standby, 'withdraw', ask, 2 * answerMs);
+  const res = await ctx.peers.ask(
+    standby,
+    'withdraw',
+    ask,
+    2 * responseTimeoutMs,
+  );
   if (res.ok) {
     const {withdrawnForMs} = res.val;
     const isStuck = withdrawnForMs !== null && withdrawnForMs > authorityMs;
--- a/packages/ownership/src/cell-leader.ts
+++ b/packages/ownership/src/cell-leader.ts
@@ -116,7 +116,7 @@
   // Each handover in progress and each server's lease task adds a listener.
   setMaxListeners(0, signal);
   const timing = createLeaseTiming(options.timing);
-  const wake = createCondition(clock);
+  const changed = createCondition(clock);
   const map = createShardMap({
     service: service.name,
     shards: service.shards,
@@ -128,9 +128,9 @@
     client: options.serverClient,
     timing,
     signal,
-    onExchange: (_, changed) => {
+    onExchange: (_, healthChanged) => {
       locator.resumeSettled();
-      if (changed) wake.notify();
+      if (healthChanged) changed.notify();
     },
     onReport: (task, shards) => recovery.recordReport(task, shards),
   });
@@ -155,17 +155,17 @@
     timing,
     signal,
   });
-  const watch = createLoadMonitor(cell, options.loads, clock);
+  const loadMonitor = createLoadMonitor(cell, options.loads, clock);
   const placer = createPlacer({
     ...options,
-    loadMonitor: watch,
+    loadMonitor,
     map,
     registry,
     recorder,
     locator,
     tasks,
     signal,
-    changed: wake,
+    changed,
     formerLeaseExpiry: recovery.formerLeaseExpiry,
   });
 
@@ -176,7 +176,7 @@
   };
   // Requests that wait at a gate closed by this leader must be released.
   signal.addEventListener('abort', locator.stop);
-  const unsubscribe = options.store.subscribe(() => wake.notify());
+  const unsubscribe = options.store.subscribe(() => changed.notify());
   const leading = lead().catch((err: unknown) => {
     log.error('leading the cell failed', {cell, detail: String(err)});
   });
@@ -199,9 +199,9 @@
       return {
         server: name,
         slots,
-        capacity: watch.capacityOf(name, slots),
+        capacity: loadMonitor.capacityOf(name, slots),
         readiness: readinessOf({registry, now, warmUntil}, task),
-        busy: watch.lastObservation(name)?.busy ?? 0,
+        busy: loadMonitor.lastObservation(name)?.busy ?? 0,
         health: task.health(),
         leaving: registry.leavingReason(task),
         shards: task.assigned().size,
@@ -217,7 +217,7 @@
       server: tracked.server,
       next: tracked.next,
       servable: locator.isServable(tracked),
-      busy: watch.busyOf(tracked.shard),
+      busy: loadMonitor.busyOf(tracked.shard),
       reason: tracked.reason,
       movedAgoMs: Number.isFinite(tracked.movedAt)
         ? clock.now() - tracked.movedAt
--- a/packages/ownership/src/hot-shards.ts
+++ b/packages/ownership/src/hot-shards.ts
@@ -63,18 +63,18 @@
   };
 
   const findSplits = (now: number): HotKeySplit[] => {
-    const pairs: HotKeySplit[] = [];
+    const splits: HotKeySplit[] = [];
     const remaining = MAX_HOT_KEYS - [...map.hotKeys()].length;
     for (const [key, periods] of hotPeriods) {
-      if (pairs.length >= Math.min(remaining, MAX_SPLITS_PER_PERIOD)) break;
+      if (splits.length >= Math.min(remaining, MAX_SPLITS_PER_PERIOD)) break;
       if (periods < SPLIT_PERIODS) continue;
       if (map.get(hotShardOf(key)) !== undefined) continue;
       const range = map.findRange(key);
       if (range === null || !isSettled(range, now)) continue;
-      if (pairs.some(pair => pair.range === range)) continue;
-      pairs.push({key, hot: map.addHotKey(key), range});
+      if (splits.some(split => split.range === range)) continue;
+      splits.push({key, hot: map.addHotKey(key), range});
     }
-    return pairs;
+    return splits;
   };
 
   const findMerges = (
@@ -82,7 +82,7 @@
     busyOf: (shard: string) => number,
     now: number,
   ): HotKeySplit[] => {
-    const pairs: HotKeySplit[] = [];
+    const merges: HotKeySplit[] = [];
     for (const key of map.hotKeys()) {
       const hot = map.get(hotShardOf(key));
       const range = map.findRange(key);
@@ -92,12 +92,12 @@
       coldPeriods.set(key, periods);
       if (periods < MERGE_PERIODS) continue;
       if (isSettled(hot, now) && isSettled(range, now))
-        pairs.push({key, hot, range});
+        merges.push({key, hot, range});
     }
     for (const key of coldPeriods.keys()) {
       if (map.get(hotShardOf(key)) === undefined) coldPeriods.delete(key);
     }
-    return pairs;
+    return merges;
   };
 
   return {
--- a/packages/ownership/src/hot-split.ts
+++ b/packages/ownership/src/hot-split.ts
@@ -27,9 +27,9 @@
  */
 export async function splitKey(
   ctx: HandoverContext,
-  pair: HotKeySplit,
+  hotKeySplit: HotKeySplit,
 ): Promise<void> {
-  const {key, hot, range} = pair;
+  const {key, hot, range} = hotKeySplit;
   const {map, recorder, locator} = ctx;
   const task = range.server === null ? undefined : ctx.tasks.get(range.server);
   if (task === undefined) return map.removeHotKey(key);
@@ -46,7 +46,7 @@
   if (await recorder.commit()) {
     task.add([hot.shard]);
     if (await task.waitUntilGranted(hot.shard)) map.activateHotKey(key);
-    else await undoSplit(ctx, pair);
+    else await undoSplit(ctx, hotKeySplit);
   }
   locator.resume(range);
 }
@@ -54,9 +54,9 @@
 /** Releases the key's shard, which no request has used, and removes it. */
 async function undoSplit(
   ctx: HandoverContext,
-  pair: HotKeySplit,
+  hotKeySplit: HotKeySplit,
 ): Promise<void> {
-  const {hot, key} = pair;
+  const {hot, key} = hotKeySplit;
   if (ctx.signal.aborted) return;
   const task = hot.server === null ? undefined : ctx.tasks.get(hot.server);
   await task?.release(hot.shard);
@@ -81,9 +81,9 @@
  */
 export async function mergeKey(
   ctx: HandoverContext,
-  pair: HotKeySplit,
+  hotKeySplit: HotKeySplit,
 ): Promise<void> {
-  const {key, hot} = pair;
+  const {key, hot} = hotKeySplit;
   const {map, locator, signal} = ctx;
   const task = hot.server === null ? undefined : ctx.tasks.get(hot.server);
   if (task === undefined) return;
--- a/packages/ownership/src/lease-probe.ts
+++ b/packages/ownership/src/lease-probe.ts
@@ -32,7 +32,7 @@
  * @example
  * ```ts
  * void probe.run();
- * if (probe.last()?.health === 'leaving') empty(server);
+ * if (probe.last()?.health === 'leaving') moveShardsOff(server);
  * ```
  */
 export function createLoadProbe(options: LoadProbeOptions): LoadProbe {
--- a/packages/ownership/src/membership.ts
+++ b/packages/ownership/src/membership.ts
@@ -118,9 +118,9 @@
     const known = probes.get(router.host);
     const now = clock.now();
     if (known && now - known.at < PROBE_CACHE_MS) return known.result;
-    const found = probe(router.address);
-    probes.set(router.host, {at: now, result: found});
-    return found;
+    const result = probe(router.address);
+    probes.set(router.host, {at: now, result});
+    return result;
   };
 
   return {
--- a/packages/ownership/src/placer.ts
+++ b/packages/ownership/src/placer.ts
@@ -51,8 +51,8 @@
 const MAX_HANDOVERS = 8;
 
 /**
- * Servers that get their lease within this time after the leader started count
- * as already warm.
+ * Servers that get their lease within this time after the leader started skip
+ * the slow start.
  */
 const WARM_START_MS = 3000;
 
@@ -164,12 +164,13 @@
   ): void => {
     const from =
       tracked.server === null ? undefined : tasks.get(tracked.server);
-    const mustGo = from !== undefined && registry.leavingReason(from) !== null;
-    if (!mustGo && clock.now() < tracked.postponedUntil) return;
+    const isMandatory =
+      from !== undefined && registry.leavingReason(from) !== null;
+    if (!isMandatory && clock.now() < tracked.postponedUntil) return;
     if (handovers >= MAX_HANDOVERS) return;
     handovers++;
     log.info('handing over', {cell, shard: tracked.shard, to, reason});
-    const moved = handOver(options, tracked, {to, reason, isMandatory: mustGo});
+    const moved = handOver(options, tracked, {to, reason, isMandatory});
     runChange([tracked], countHandover(moved));
   };
 
@@ -205,18 +206,21 @@
       loadMonitor.busyOf,
       now,
     );
-    for (const pair of changes.split) {
-      log.info('splitting off a hot key', {cell, shard: pair.hot.shard});
-      runChange([pair.hot, pair.range], splitKey(options, pair));
+    for (const hotKeySplit of changes.split) {
+      log.info('splitting off a hot key', {cell, shard: hotKeySplit.hot.shard});
+      runChange(
+        [hotKeySplit.hot, hotKeySplit.range],
+        splitKey(options, hotKeySplit),
+      );
     }
-    for (const pair of changes.merge) mergeHotKey(pair);
+    for (const hotKeySplit of changes.merge) mergeHotKey(hotKeySplit);
   };
 
-  const mergeHotKey = (pair: HotKeySplit): void => {
-    const {hot, range} = pair;
+  const mergeHotKey = (hotKeySplit: HotKeySplit): void => {
+    const {hot, range} = hotKeySplit;
     if (hot.isChanging || range.isChanging) return;
     if (hot.server === range.server) {
-      runChange([hot, range], mergeKey(options, pair));
+      runChange([hot, range], mergeKey(options, hotKeySplit));
     } else if (range.server !== null) {
       startHandover(
         hot,
--- a/packages/ownership/src/recovery.ts
+++ b/packages/ownership/src/recovery.ts
@@ -53,6 +53,7 @@
  */
 export function createRecovery(options: RecoveryOptions): Recovery {
   const {inheritance, map, registry, recorder, clock, signal} = options;
+  /** Shards that two servers reported. */
   const disputed = new Set<ShardId>();
   let inheritedAddresses: ReadonlyMap<string, string> = new Map();
   let isQuerying = false;
@@ -79,7 +80,7 @@
     }
     registry.runFenceChecking();
     options.locator.start();
-    replicate();
+    recordForStandby();
     await untilAborted(inheritance.cleared, signal);
     if (signal.aborted) return;
     limitFormerLeases();
@@ -87,7 +88,7 @@
   };
 
   /** Sends the table to the new standby early, even if nothing changes. */
-  const replicate = (): void => {
+  const recordForStandby = (): void => {
     recorder.markChanged();
     void recorder.commit();
   };
@@ -116,7 +117,7 @@
     if (signal.aborted) return;
     removeDisputedHotKeys();
     isTableKnown = true;
-    replicate();
+    recordForStandby();
     options.locator.start();
   };
 
--- a/packages/ownership/src/standby-watch.ts
+++ b/packages/ownership/src/standby-watch.ts
@@ -73,12 +73,12 @@
   standby: Standby,
   leader: Incarnation,
 ): number {
-  const {suspicionMs, pollIntervalMs: tickMs} = ctx.timing;
+  const {suspicionMs, pollIntervalMs} = ctx.timing;
   const silentMs = standby
     .roles()
     .filter(role => isConsentedTo(role, leader))
     .map(role => leaderSilenceMs(ctx, role));
-  return Math.max(tickMs, suspicionMs - Math.max(0, ...silentMs) + 1);
+  return Math.max(pollIntervalMs, suspicionMs - Math.max(0, ...silentMs) + 1);
 }
 
 function isConsentedTo(role: StandbyRole, leader: Incarnation): boolean {
--- a/packages/ownership/src/unreachable-handler.ts
+++ b/packages/ownership/src/unreachable-handler.ts
@@ -77,8 +77,13 @@
     others.map(async ({router}): Promise<Reachability> => {
       const found = await membership.findIncarnation(router);
       if (found === null) return 'unknown';
-      const {responseTimeoutMs: answerMs} = ctx.timing;
-      const res = await ctx.peers.ask(found, 'reach', {}, 2 * answerMs);
+      const {responseTimeoutMs} = ctx.timing;
+      const res = await ctx.peers.ask(
+        found,
+        'reach',
+        {},
+        2 * responseTimeoutMs,
+      );
       if (!res.ok) return 'unknown';
       return res.val.reached ? 'reached' : 'unreached';
     }),
