--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -117,7 +117,7 @@
     [...(configKeeper.current()?.services.values() ?? [])]
       .filter(({isKeyed}) => isKeyed)
       .map(({name}) => name);
-  const hasCrashed = (server: string): boolean =>
+  const hasEnded = (server: string): boolean =>
     keyOwners.isReplaced(server) || serverList.isReplaced(server);
 
   let restoredAt = -Infinity;
@@ -130,7 +130,7 @@
     times: serviceTimes,
     clock,
     limits: serverLimits,
-    hasEnded: hasCrashed,
+    hasEnded,
   };
   const suspendAwareNow = createSuspendAwareTime(clock, Date.now);
   const leadership = createLeadership({
@@ -143,7 +143,7 @@
     keyedServices,
     timing: createLeaseTiming(settings.servers.holdMaxMs),
     serversOf: service => listAssignableServers(ledServersConfig, service),
-    hasEnded: hasCrashed,
+    hasEnded,
     isListSettled: () => serverList.sinceNewServerMs() >= SERVER_LIST_SETTLE_MS,
     waitingKeys: service => slotAllocator.waitingKeys(service),
     isFirstStart: settings.platform.isFirstStart,
--- a/packages/ownership/src/led-cell.ts
+++ b/packages/ownership/src/led-cell.ts
@@ -64,7 +64,7 @@
 
 /**
  * Controls dispatch of a shard's requests while the shard moves or after its
- * server was lost. Implemented by the leader's admission.
+ * server was lost. Implemented by the leader's request queues.
  */
 export interface DispatchGate {
   /**
@@ -111,7 +111,7 @@
   readonly hotKeys: readonly HotKey[];
 }
 
-/** Source of load measurements. Implemented by the leader's admission. */
+/** Source of load measurements. Implemented by the leader's request queues. */
 export interface LoadSource {
   read(cell: CellId): CellLoad;
 }
