--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -87,8 +87,8 @@
   clock: Clock = createClock(),
 ): Promise<RouterProcess> {
   const {emit} = log;
-  const boot = createId();
-  const self = `${settings.host.name}@${settings.listen.peers}#${boot}`;
+  const bootId = createId();
+  const self = `${settings.host.name}@${settings.listen.peers}#${bootId}`;
   let isStopping = false;
   let isClosed = false;
   const goesOn = (): boolean => !isClosed;
@@ -117,7 +117,7 @@
     [...(configKeeper.current()?.services.values() ?? [])]
       .filter(({isKeyed}) => isKeyed)
       .map(({name}) => name);
-  const hasCrashed = (server: string): boolean =>
+  const hasEnded = (server: string): boolean =>
     keyOwners.isReplaced(server) || serverList.isReplaced(server);
 
   let restoredAt = -Infinity;
@@ -130,7 +130,7 @@
     times: serviceTimes,
     clock,
     limits: serverLimits,
-    hasEnded: hasCrashed,
+    hasEnded,
   };
   const suspendAwareNow = createSuspendAwareTime(clock, Date.now);
   const leadership = createLeadership({
@@ -138,12 +138,12 @@
     clock,
     suspendAwareNow,
     emit,
-    bootId: boot,
+    bootId,
     address: settings.listen.peers,
     keyedServices,
     timing: createLeaseTiming(settings.servers.holdMaxMs),
     serversOf: service => listAssignableServers(ledServersConfig, service),
-    hasEnded: hasCrashed,
+    hasEnded,
     isListSettled: () => serverList.sinceNewServerMs() >= SERVER_LIST_SETTLE_MS,
     waitingKeys: service => slotAllocator.waitingKeys(service),
     isFirstStart: settings.platform.isFirstStart,
