--- a/packages/gateway/src/run-router.ts
+++ b/packages/gateway/src/run-router.ts
@@ -105,12 +105,12 @@
   const suspects = createSuspects(clock, emit);
   const serverLimits = createServerLimits({clock, emit});
   const serverRests = createServerRests({clock, emit});
-  const serverEnds = createCrashDetector({clock, probe: probeServer});
+  const crashDetector = createCrashDetector({clock, probe: probeServer});
   serverList.subscribe(() => {
-    serverEnds
+    crashDetector
       .watchedServers()
       .filter(serverList.isReplaced)
-      .forEach(serverEnds.noteReplaced);
+      .forEach(crashDetector.noteReplaced);
   });
 
   const keyedServices = (): readonly string[] =>
@@ -125,7 +125,7 @@
     if (before !== null) restoredAt = clock.now();
     emit('store-epoch', {storeEpoch, before});
   });
-  const ledServersConfig = {
+  const assignableServersCfg = {
     backends,
     times: serviceTimes,
     clock,
@@ -142,7 +142,7 @@
     address: settings.listen.peers,
     keyedServices,
     timing: createLeaseTiming(settings.servers.holdMaxMs),
-    serversOf: service => listAssignableServers(ledServersConfig, service),
+    serversOf: service => listAssignableServers(assignableServersCfg, service),
     hasEnded,
     isListSettled: () => serverList.sinceNewServerMs() >= SERVER_LIST_SETTLE_MS,
     waitingKeys: service => slotAllocator.waitingKeys(service),
@@ -278,7 +278,7 @@
         ...keyOwners,
         noteReplaced(server) {
           keyOwners.noteReplaced(server);
-          serverEnds.noteReplaced(server);
+          crashDetector.noteReplaced(server);
           linkClient.reportReplaced(server);
         },
       },
@@ -290,7 +290,7 @@
       }),
       dataCentre: settings.host.dataCentre,
       budget: createRetryBudget(settings.retries, countRouters),
-      quarantine: createQuarantine(suspects, serverEnds),
+      quarantine: createQuarantine(suspects, crashDetector),
       limits: serverLimits,
       rests: serverRests,
       noteLeaving: reportLeaving,
--- a/packages/ownership/src/handover.ts
+++ b/packages/ownership/src/handover.ts
@@ -19,7 +19,7 @@
  *
  * @example
  * ```ts
- * await grantShard(ctx, tracked, 'bed-3', 'nobody owned it');
+ * await grantShard(ctx, tracked, 'bed-3', 'shard had no owner');
  * ```
  */
 export async function grantShard(
